--- a/app/src/main/java/ryemast/Catalogue.java
+++ b/app/src/main/java/ryemast/Catalogue.java
@@ -12,7 +12,7 @@
 import ryemast.core.Loop;
 import ryemast.core.Members;
 import ryemast.net.Transport;
-import ryemast.pacing.Pace;
+import ryemast.pacing.PollingPolicy;
 
 /**
  * Puts Consul in the place of the platform's discovery; loaded where the operator wants it, as a start should
@@ -43,7 +43,8 @@
                 wanted.timeToLive());
         var settings =
                 new ConsulSettings(wanted.agents(), wanted.service(), wanted.tag(), mode, wanted.datacentre(),
-                wanted.filter(), tls, mapping, Pace.DEFAULT.withHold(wanted.hold()), wanted.connectLimit(),
+                wanted.filter(), tls, mapping, PollingPolicy.DEFAULT.withMaxWait(wanted.hold()),
+                wanted.connectLimit(),
                 wanted.longestAnswer(), own);
         try {
             var table = new ConsulTable(loop, transport, settings, members, config.seed());
--- a/app/src/main/java/ryemast/Coordinating.java
+++ b/app/src/main/java/ryemast/Coordinating.java
@@ -12,7 +12,7 @@
 import ryemast.coordination.EmbeddedCoordination;
 import ryemast.core.Loop;
 import ryemast.net.Transport;
-import ryemast.pacing.Pace;
+import ryemast.pacing.PollingPolicy;
 
 /**
  * Sets up what dispatchers agree by; loaded where the operator wants it, as a start should pay nothing. A
@@ -59,7 +59,7 @@
                 : new ConsulSettings.Tls(kv.authorityFile(), kv.tlsName());
         try {
             var calls = new ConsulCalls(loop, transport, new ConsulSettings.Reach(kv.agents(), tls,
-                    kv.connectLimit(), kv.longestAnswer()), Pace.DEFAULT.withHold(kv.hold()));
+                    kv.connectLimit(), kv.longestAnswer()), PollingPolicy.DEFAULT.withMaxWait(kv.hold()));
             calls.token(token(config));
             return new Coordinating(new ConsulCoordination(loop, calls, new ConsulCoordination.Settings(
                     kv.prefix(), limit, ConsulCoordination.Settings.MOST_OUT,
--- a/app/src/main/java/ryemast/Service.java
+++ b/app/src/main/java/ryemast/Service.java
@@ -338,7 +338,7 @@
             }
             if (stopped) {
                 // Told every 10 s otherwise: those of the last seconds would be missing.
-                var unserved = brain.health().refusals().news();
+                var unserved = brain.health().refusals().summarizeNew();
                 if (!unserved.isEmpty()) {
                     LOG.info(unserved);
                 }
--- a/batch/src/main/java/ryemast/batch/BatchFront.java
+++ b/batch/src/main/java/ryemast/batch/BatchFront.java
@@ -20,7 +20,7 @@
 import ryemast.core.Submission;
 import ryemast.net.Addresses;
 import ryemast.pacing.FairQueue;
-import ryemast.pacing.InFlight;
+import ryemast.pacing.BatchConcurrencyLimit;
 import ryemast.store.DurableStore;
 import ryemast.store.StoreException;
 
@@ -107,7 +107,7 @@
         var bodies = new Bodies(loop, store);
         ends = new Ends(loop, store, book, this::over);
         turns = new Turns(loop, exchange, workers, store, book, bodies, ends, new FairQueue(shares),
-                new InFlight(settings.limits().mostOut(), startsTold), settings.intentFirst());
+                new BatchConcurrencyLimit(settings.limits().mostOut(), startsTold), settings.intentFirst());
         waits = new Waits(loop, (array, slot, then) -> keeper.info(array, slot, then));
         keeper = new Keeper(loop, store, book, turns, waits, bodies, settings.limits().retain());
         var requests = new Requests(loop, store, book, waits, keeper, settings.limits());
--- a/batch/src/main/java/ryemast/batch/Turns.java
+++ b/batch/src/main/java/ryemast/batch/Turns.java
@@ -19,7 +19,7 @@
 import ryemast.core.Terminal;
 import ryemast.core.Transaction;
 import ryemast.pacing.FairQueue;
-import ryemast.pacing.InFlight;
+import ryemast.pacing.BatchConcurrencyLimit;
 import ryemast.recovery.Aftermath;
 import ryemast.recovery.Aftermath.Next;
 import ryemast.store.Changes;
@@ -27,9 +27,9 @@
 import ryemast.wire.Words.State;
 
 /**
- * Hands batch jobs to the exchange, as {@link FairQueue} and {@link InFlight} say, and does with each what
- * {@link Aftermath} says once its turn is over. Stands between the exchange and the workers' side, and
- * guarantees there that no byte of a batch job's attempt leaves before the intent to send it is on the
+ * Hands batch jobs to the exchange, as {@link FairQueue} and {@link BatchConcurrencyLimit} say, and does with
+ * each what {@link Aftermath} says once its turn is over. Stands between the exchange and the workers' side,
+ * and guarantees there that no byte of a batch job's attempt leaves before the intent to send it is on the
  * disk; everybody else's attempts pass by untouched. An intent that can't be written, or takes too long,
  * ends the attempt as not sent, so that no worker is blamed for the disk. Owned by the loop.
  */
@@ -49,7 +49,7 @@
     private final Bodies bodies;
     private final Ends ends;
     private final FairQueue fair;
-    private final InFlight pace;
+    private final BatchConcurrencyLimit pace;
     private final boolean intentFirst;
     private final Map<String, Turn> byName = new HashMap<>();
     private final Map<Long, Turn> byKey = new HashMap<>();
@@ -62,7 +62,7 @@
 
     Turns(Loop loop, Exchange exchange, Region workers, DurableStore store, Book book, Bodies bodies,
             Ends ends,
-            FairQueue fair, InFlight pace, boolean intentFirst) {
+            FairQueue fair, BatchConcurrencyLimit pace, boolean intentFirst) {
         this.loop = loop;
         this.exchange = exchange;
         this.workers = workers;
@@ -80,7 +80,7 @@
         return byName.containsKey(txn);
     }
 
-    InFlight pace() {
+    BatchConcurrencyLimit pace() {
         return pace;
     }
 
@@ -95,7 +95,7 @@
             return;
         }
         if (array.hasNext()) {
-            fair.join(array.number, array.session.tenant);
+            fair.activate(array.number, array.session.tenant);
             pumpSoon();
         }
     }
@@ -120,17 +120,17 @@
 
     private void pump() {
         pumping = false;
-        while (!stopped && !fair.isEmpty() && pace.room(loop.now()) > 0) {
+        while (!stopped && !fair.isEmpty() && pace.available(loop.now()) > 0) {
             long line = fair.next(this::cost);
             var array = book.arrays.get(line);
             if (array == null || !array.hasNext()) {
                 // Its jobs were held or terminated meanwhile.
-                fair.leave(line);
+                fair.deactivate(line);
                 continue;
             }
             int slot = array.take();
             if (!array.hasNext()) {
-                fair.leave(array.number);
+                fair.deactivate(array.number);
             }
             begin(new Turn(array, slot));
         }
@@ -177,7 +177,7 @@
 
     /** The array has nothing to hand out any more, for whatever reason. */
     void gone(JobArray array) {
-        fair.leave(array.number);
+        fair.deactivate(array.number);
     }
 
     /**
@@ -351,7 +351,7 @@
                 byName.remove(name);
             }
             byKey.remove(array.key(slot));
-            pace.over(served);
+            pace.ended(served);
             pumpSoon();
         }
 
--- a/consul/src/main/java/ryemast/consul/Agents.java
+++ b/consul/src/main/java/ryemast/consul/Agents.java
@@ -22,7 +22,7 @@
 import ryemast.net.http.HttpException;
 import ryemast.net.http.HttpHead;
 import ryemast.net.http.HttpMessage;
-import ryemast.pacing.Setback;
+import ryemast.pacing.CallFailure;
 
 /**
  * Calls to Consul's agents, one at a time on each connection; connections are kept for the next call. A call
@@ -43,7 +43,7 @@
      * @param answer   null where there is none at all
      * @param sent     how often it was written to a connection; 0: it can't have reached the agent
      */
-    record Result(Setback setback, String why, HttpMessage answer, int sent) {
+    record Result(CallFailure setback, String why, HttpMessage answer, int sent) {
 
         boolean good() {
             return setback == null;
@@ -131,9 +131,9 @@
     }
 
     /** What an answer's status means. */
-    private static Setback setback(int status) {
-        return status == OK ? null : status == FORBIDDEN ? Setback.FORBIDDEN
-                : status == TOO_MANY ? Setback.RATE_LIMITED : Setback.SERVER_ERROR;
+    private static CallFailure setback(int status) {
+        return status == OK ? null : status == FORBIDDEN ? CallFailure.FORBIDDEN
+                : status == TOO_MANY ? CallFailure.RATE_LIMITED : CallFailure.SERVER_ERROR;
     }
 
     private static String quoted(HttpMessage answer) {
@@ -158,7 +158,7 @@
             this.then = then;
         }
 
-        void end(Setback setback, String why, HttpMessage answer) {
+        void end(CallFailure setback, String why, HttpMessage answer) {
             if (ended) {
                 return;
             }
@@ -177,7 +177,7 @@
                 List.copyOf(idle.get(agent)).stream().filter(each -> each.heardAt < writtenAt)
                         .forEach(Connection::drop);
             }
-            end(Setback.UNREACHABLE, "no answer in time", null);
+            end(CallFailure.UNREACHABLE, "no answer in time", null);
         }
 
         void drop() {
@@ -240,7 +240,7 @@
             }
             heardAt = loop.now();
             if (message instanceof HttpException e) {
-                lost(Setback.MALFORMED, e.getMessage());
+                lost(CallFailure.MALFORMED, e.getMessage());
             } else if (call == null || !(message instanceof HttpMessage answer)) {
                 drop();
             } else {
@@ -262,10 +262,10 @@
         }
 
         private void lost(String why) {
-            lost(Setback.UNREACHABLE, why);
+            lost(CallFailure.UNREACHABLE, why);
         }
 
-        private void lost(Setback setback, String why) {
+        private void lost(CallFailure setback, String why) {
             if (gone) {
                 return;
             }
@@ -275,7 +275,7 @@
             if (undone == null || undone.ended) {
                 return;
             }
-            if (used && setback == Setback.UNREACHABLE && !closed) {
+            if (used && setback == CallFailure.UNREACHABLE && !closed) {
                 new Connection(agent).connect(undone);
             } else {
                 undone.end(setback, why, null);
--- a/consul/src/main/java/ryemast/consul/ConsulCalls.java
+++ b/consul/src/main/java/ryemast/consul/ConsulCalls.java
@@ -11,7 +11,7 @@
 import ryemast.net.Transport;
 import ryemast.net.http.HttpMessage;
 import ryemast.pacing.BlockingQuery;
-import ryemast.pacing.Pace;
+import ryemast.pacing.PollingPolicy;
 
 /**
  * Calls to Consul and blocking queries for other parts of the program, over the same client as the
@@ -64,7 +64,7 @@
     private final Loop loop;
     private final Agents agents;
     private final int count;
-    private final Pace pace;
+    private final PollingPolicy pace;
     private final ExecutorService reading = Executors.newSingleThreadExecutor(work -> {
         var thread = new Thread(work, "consul records");
         thread.setDaemon(true);
@@ -75,7 +75,7 @@
     private boolean closed;
 
     /** An {@link IOException} says which file of the settings can't be used. */
-    public ConsulCalls(Loop loop, Transport transport, ConsulSettings.Reach reach, Pace pace)
+    public ConsulCalls(Loop loop, Transport transport, ConsulSettings.Reach reach, PollingPolicy pace)
             throws IOException {
         this.loop = loop;
         this.pace = pace;
@@ -103,7 +103,7 @@
      */
     public void call(String method, String target, byte[] body, boolean readsOnly, long giveUpAt,
             Consumer<Answer> then) {
-        if (asked > 0 && loop.now() >= awaySince + pace.homeAfter()) {
+        if (asked > 0 && loop.now() >= awaySince + pace.failbackAfter()) {
             asked = 0;
         }
         attempt(new Wanted(method, target, body, readsOnly, giveUpAt, then), asked, count);
--- a/consul/src/main/java/ryemast/consul/ConsulSettings.java
+++ b/consul/src/main/java/ryemast/consul/ConsulSettings.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import ryemast.pacing.Pace;
+import ryemast.pacing.PollingPolicy;
 
 /**
  * How Consul is asked. Immutable.
@@ -20,7 +20,7 @@
  * @param registration  null: the dispatcher itself is not registered
  */
 public record ConsulSettings(List<InetSocketAddress> agents, String service, String tag, Mode mode,
-        String datacentre, String filter, Tls tls, Mapping mapping, Pace pace, long connectLimit,
+        String datacentre, String filter, Tls tls, Mapping mapping, PollingPolicy pace, long connectLimit,
         int longestAnswer, Own registration) {
 
     /** Consul's consistency modes. */
--- a/consul/src/main/java/ryemast/consul/Registration.java
+++ b/consul/src/main/java/ryemast/consul/Registration.java
@@ -83,7 +83,7 @@
 
     private void noted(Agents.Result result) {
         if (result.good()) {
-            heartbeat.taken(loop.now());
+            heartbeat.succeeded(loop.now());
         } else {
             heartbeat.failed(loop.now());
         }
--- a/consul/src/main/java/ryemast/consul/ServiceWatch.java
+++ b/consul/src/main/java/ryemast/consul/ServiceWatch.java
@@ -104,7 +104,7 @@
     private void confirm() {
         confirming = true;
         int next = (server() + 1) % settings.agents().size();
-        long until = loop.now() + settings.pace().slack() + settings.connectLimit();
+        long until = loop.now() + settings.pace().answerSlack() + settings.connectLimit();
         agents.call(next, "GET", targets.registered(service), HttpMessage.EMPTY, until, result -> {
             confirming = false;
             if (result.good() && !"false".equals(result.answer().head().header("x-consul-knownleader"))) {
--- a/consul/src/main/java/ryemast/consul/Watch.java
+++ b/consul/src/main/java/ryemast/consul/Watch.java
@@ -12,7 +12,7 @@
 import ryemast.core.Note;
 import ryemast.net.http.HttpMessage;
 import ryemast.pacing.BlockingQuery;
-import ryemast.pacing.Setback;
+import ryemast.pacing.CallFailure;
 
 /**
  * One blocking query, kept up for as long as the program runs: asks when its pace says so, has answers read
@@ -32,7 +32,7 @@
     private final String what;
     private final BlockingQuery query;
     private final Executor reading;
-    private Setback said;
+    private CallFailure said;
     /** Ends the call that is out, or the pause before the next one. */
     private Runnable giveUp = () -> { };
     private boolean ended;
@@ -79,20 +79,20 @@
 
     /** The next answer is to be the whole present state, at once. */
     void doubt() {
-        query.doubt();
+        query.resetIndex();
     }
 
     void ask() {
         if (ended) {
             return;
         }
-        var ask = query.ask(loop.now());
+        var ask = query.startCall(loop.now());
         var target = target();
         if (ask.index() > 0) {
             target += (target.contains("?") ? "&" : "?") + "index=" + ask.index() + "&wait="
-                    + ask.hold() / 1000 + "ms";
+                    + ask.maxWait() / 1000 + "ms";
         }
-        giveUp = agents.call(ask.server(), "GET", target, HttpMessage.EMPTY, ask.giveUpAt(), result -> {
+        giveUp = agents.call(ask.server(), "GET", target, HttpMessage.EMPTY, ask.deadline(), result -> {
             var body = body(result);
             if (body != null) {
                 answered(result, body);
@@ -104,7 +104,7 @@
 
     private void answered(Agents.Result result, byte[] body) {
         long index = result.number("x-consul-index", 0);
-        if (query.knows(index)) {
+        if (query.isKnown(index)) {
             query.answered(loop.now(), index);
             recovered();
             unchanged();
@@ -131,17 +131,18 @@
                     }
                 });
             } catch (IOException | RuntimeException e) {
-                loop.post(() -> setBack(Setback.MALFORMED, "the answer can't be read: " + e.getMessage()));
+                loop.post(() -> setBack(CallFailure.MALFORMED,
+                        "the answer can't be read: " + e.getMessage()));
             }
         });
     }
 
-    private void setBack(Setback why, String words) {
+    private void setBack(CallFailure why, String words) {
         if (ended) {
             return;
         }
         int server = query.server();
-        query.setBack(loop.now(), why);
+        query.failed(loop.now(), why);
         if (said != why) {
             said = why;
             Note.warning(LOG, "{what} can't be had from Consul at {address}: {why}", "what", what,
@@ -163,10 +164,10 @@
     }
 
     private void askLater() {
-        if (query.askAt() <= loop.now()) {
+        if (query.nextCallAt() <= loop.now()) {
             ask();
         } else {
-            giveUp = loop.at(query.askAt(), this::ask);
+            giveUp = loop.at(query.nextCallAt(), this::ask);
         }
     }
 }
--- a/coordination/src/test/java/ryemast/coordination/ConsulCoordinationTest.java
+++ b/coordination/src/test/java/ryemast/coordination/ConsulCoordinationTest.java
@@ -18,13 +18,13 @@
 import ryemast.coordination.Coordination.Fate;
 import ryemast.coordination.Coordination.Watcher;
 import ryemast.net.Transport;
-import ryemast.pacing.Pace;
+import ryemast.pacing.PollingPolicy;
 
 class ConsulCoordinationTest extends Contract {
 
     /** Quick, as the test waits for each thing that a watch tells. */
-    private static final Pace PACE = new Pace(10_000_000, 1_000_000, 1_000, 1_000, 2_000, 20_000, 20_000,
-            30_000_000);
+    private static final PollingPolicy PACE = new PollingPolicy(10_000_000, 1_000_000, 1_000, 1_000, 2_000,
+            20_000, 20_000, 30_000_000);
 
     private final Transport transport = new Transport();
     private KvStandIn consul;
--- a/decisions/src/main/java/pipitladder/Brain.java
+++ b/decisions/src/main/java/pipitladder/Brain.java
@@ -14,11 +14,11 @@
 import pipitladder.Ledger.Worker;
 import ryemast.fleet.choices.TenantShares;
 import ryemast.fleet.signals.Own;
-import ryemast.health.Health;
+import ryemast.health.OutlierDetector;
 import ryemast.health.Refusals.Cause;
 import ryemast.health.Sign;
 import ryemast.limits.ColdBudget;
-import ryemast.pacing.ListCalls;
+import ryemast.pacing.DiscoveryCallSchedule;
 
 /**
  * All decisions of a dispatcher; its interface is in {@link Dispatcher} (Dispatcher.java).
@@ -66,7 +66,7 @@
     private final Map<Integer, Worker> byCode = new LinkedHashMap<>();
     private final Map<Long, Job> jobs = new LinkedHashMap<>();
     private final Rates rates;
-    private final Health health;
+    private final OutlierDetector health;
     private final ColdBudget cold;
     private final Ledger.Estimate jobWork = new Ledger.Estimate();
     private final TenantShares shares;
@@ -88,11 +88,12 @@
         period = Math.max(2 * settings.resolution(), aim / 40);
         rates = new Rates(settings);
         var rules = settings.rules();
-        discovered = new Discovered(new ListCalls(settings.self(), settings.dispatchers(), rules.askEvery(),
+        discovered = new Discovered(new DiscoveryCallSchedule(settings.self(), settings.dispatchers(),
+                rules.askEvery(),
                 settings.listPushed(), random), settings.listPushed(), settings.limits().connIdle());
         cold = new ColdBudget(settings.self(), settings.dispatchers(), rules.coldFor(), rules.coldCapacity(),
                 rules.coldMultiple(), rules.coldWindow(), rates.knowsCapacity());
-        health = new Health(settings.startsReported(), settings.progressInterval(), period,
+        health = new OutlierDetector(settings.startsReported(), settings.progressInterval(), period,
                 settings.self(), settings.dispatchers());
         tellable = Ledger.Note.tellable(settings);
         asksWorkers = settings.limits().probes() && !settings.reportFields().isEmpty()
@@ -106,7 +107,7 @@
     }
 
     /** What is believed of the workers, and why jobs were not served. */
-    public Health health() {
+    public OutlierDetector health() {
         return health;
     }
 
@@ -128,7 +129,7 @@
         } else if (event instanceof AttemptStarted started) {
             noteStart(attempt(started.request(), started.attempt()));
         } else if (event instanceof AttemptProgress progress) {
-            named(progress.worker()).health.heard(now);
+            named(progress.worker()).health.recordActivity(now);
             Optional.ofNullable(attempt(progress.request(), progress.attempt()))
                     .filter(attempt -> !attempt.ended).ifPresent(attempt -> attempt.awaited.progressed(now));
         } else if (event instanceof TimerDue timer) {
@@ -138,11 +139,11 @@
         } else if (event instanceof DiscoveryLost lost) {
             discovered.lost(lost.heardAt(), now);
         } else if (event instanceof WorkerLived lived) {
-            named(lived.worker()).health.life().seen(lived.from(), lived.to());
+            named(lived.worker()).health.processLife().seen(lived.from(), lived.to());
         } else if (event instanceof ClientGone gone) {
             close(jobs.get(gone.request()));
         } else if (event instanceof ProbeEnded probe && probe.healthy()) {
-            named(probe.worker()).health.heard(now);
+            named(probe.worker()).health.recordActivity(now);
             readReport(named(probe.worker()), probe.report());
         } else if (event instanceof PeerMessage message) {
             Ledger.Note.of(message.text()).ifPresent(this::book);
@@ -180,7 +181,7 @@
     }
 
     private void ring(Ledger.Alarm alarm) {
-        health.woke(now, alarm.dueAt());
+        health.timerFired(now, alarm.dueAt());
         alarm.due().run();
     }
 
@@ -225,7 +226,7 @@
         }
         // What must run once goes on: its client may want the effect though it no longer waits for the word.
         if (!job.closed && settings.limits().cancel() && job.jobClass.effect() != Effect.UNSAFE) {
-            job.attempts.stream().filter(attempt -> !attempt.ended && !attempt.awaited.isTrial())
+            job.attempts.stream().filter(attempt -> !attempt.ended && !attempt.awaited.isRecoveryProbe())
                     .forEach(this::cancel);
         }
         job.closed = true;
@@ -275,9 +276,9 @@
             return;
         }
         if (job.attempts.isEmpty()) {
-            health.purse().firstSend(now);
+            health.retryBudget().depositFirstSend(now);
         } else if (job.outstanding == 0 && job.mayHaveRun()) {
-            health.purse().repeat(now);
+            health.retryBudget().chargeRetry(now);
         }
         worker.sent(now, Math.max(job.work, jobWork.mean), settings.rules().coldWindow());
         var attempt = worker.take(new Attempt(job, worker, now, now + (long) (worker.queueing * SECOND),
@@ -312,7 +313,7 @@
         rates.warm(reach.listed().filter(worker -> warmth(worker) >= 1));
         log(discovered.news(reach.listed(), now));
         round.forEach(this::place);
-        log(health.news(now));
+        log(health.takeLogLines(now));
     }
 
     private void log(List<String> lines) {
@@ -328,10 +329,10 @@
         double ahead = worker.work + worker.toldWork(now, worker.speed);
         double used = Math.max(1, worker.usedSlots + worker.toldSlots(now));
         worker.queueing = Math.max(0, used - slots + 1) * ahead / used / worker.rate;
-        double unanswered = worker.probedAt > worker.health.heardAt() ? jobWork.mean / worker.rate : 0;
+        double unanswered = worker.probedAt > worker.health.lastActivityAt() ? jobWork.mean / worker.rate : 0;
         double unseen = worker.usedSlots < slots ? Math.max(LASTING, 1 - 1.0 / settings.dispatchers()) : 1;
         double usual = standsTwice ? rates.usualWait(warmth(worker) < 1) : 0;
-        double delay = worker.health.delay(now);
+        double delay = worker.health.expectedDelay(now);
         worker.shown = worker.ownQueueing() + Math.max(unseen * worker.excess(now, 0), delay) + unanswered;
         double seen = Math.max(unseen * worker.excess(now, usual), delay) + unanswered;
         worker.wait = worker.queueing + seen;
@@ -450,7 +451,7 @@
     /** Before the payoff ranks: a worker that fails many jobs, or failed this one, only if no other fits. */
     private boolean fits(Job job, Worker worker) {
         boolean asWell = job.jobClass.effect() == Effect.UNSAFE
-                ? worker.health.isTrusted() : worker.health.admits();
+                ? worker.health.admitsUnsafe() : worker.health.admits();
         return asWell && !job.failedAt(worker);
     }
 
@@ -459,12 +460,12 @@
      * second copies are allowed, the job goes to another one as well, so that no client waits for the sick.
      */
     private Worker trialFor(Job job) {
-        var due = health.trialDue(now);
+        var due = health.recoveryProbeDue(now);
         var worker = due == null ? null : workers.get(due.id());
         boolean inTime = job.outstanding == 1
                 || now + job.length() * SECOND + settings.limits().connectTimeout() < job.aimAt;
         return worker != null && job.jobClass.effect() == Effect.REPEATABLE && inTime
-                && health.purse().affordsRepeat(now) && permits(job, worker) ? worker : null;
+                && health.retryBudget().canRetry(now) && permits(job, worker) ? worker : null;
     }
 
     private Worker best(Job job, List<Worker> candidates) {
@@ -501,7 +502,7 @@
         if (misses && asksWorkers && job.draws < DRAWS && !over) {
             probeFor(job);
             gather(job);
-        } else if (job.mayHaveRun() && !health.purse().affordsRepeat(now)) {
+        } else if (job.mayHaveRun() && !health.retryBudget().canRetry(now)) {
             giveUp(job, Cause.NO_BUDGET);
         } else if (best != null && !tooLate(job, best)) {
             boolean copies = settings.limits().secondCopies();
@@ -509,7 +510,7 @@
             send(job, instead == null ? best : instead);
             var beside = copies ? trialFor(job) : null;
             if (beside != null) {
-                health.purse().repeat(now);
+                health.retryBudget().chargeRetry(now);
                 send(job, beside);
             }
         } else if (best != null || over || outdated && !job.mayHaveRun()) {
@@ -535,9 +536,9 @@
 
     /** How long no sign of life came from a worker with a job overdue; without progress notes none can. */
     private long silence(Attempt attempt) {
-        long missing = attempt.awaited.missing(now);
-        return attempt.awaited.gone(now) > SURELY ? missing : settings.progressInterval() > 0
-                ? Math.min(missing, now - attempt.worker.health.heardAt()) : 0;
+        long missing = attempt.awaited.overdueMicros(now);
+        return attempt.awaited.lossProbability(now) > SURELY ? missing : settings.progressInterval() > 0
+                ? Math.min(missing, now - attempt.worker.health.lastActivityAt()) : 0;
     }
 
     private void noteStart(Attempt attempt) {
@@ -547,10 +548,10 @@
         var worker = attempt.worker;
         long waited = now - attempt.sentAt;
         worker.started(attempt, now);
-        long way = health.way();
+        long way = health.minStartDelay();
         boolean prompt = waited <= way * 2 + period;
         rates.started(worker, worker.runningSlots + worker.toldBefore(attempt.sentAt), prompt);
-        if (!health.wasDeaf(now)) {
+        if (!health.wasStalled(now)) {
             worker.missed(now, (worker.excess(now, 0) + unexplained(attempt)) / 2);
             rates.waited(warmth(worker) < 1, unexplained(attempt));
         }
@@ -561,7 +562,7 @@
     private void leaveOtherQueue(Attempt started) {
         var attempts = standsTwice ? started.job.attempts : List.<Attempt>of();
         for (var each : attempts) {
-            if (each != started && !each.ended && each.startedAt == 0 && !each.awaited.isTrial()) {
+            if (each != started && !each.ended && each.startedAt == 0 && !each.awaited.isRecoveryProbe()) {
                 noteQueue(each);
                 rates.waited(warmth(each.worker) < 1, unexplained(each));
                 out.accept(new Cancel(each.job.request.id(), each.job.attempts.indexOf(each)));
@@ -575,7 +576,8 @@
 
     /** Seconds that it has waited for its start beyond what own work ahead of it and the way explain. */
     private double unexplained(Attempt attempt) {
-        return health.wasDeaf(now) ? 0 : Math.max(0, (now - attempt.dueAt - health.way()) / SECOND);
+        return health.wasStalled(now) ? 0
+                : Math.max(0, (now - attempt.dueAt - health.minStartDelay()) / SECOND);
     }
 
     private void judge(Attempt attempt, Outcome outcome) {
@@ -583,10 +585,10 @@
         var sign = attempt.end(outcome);
         attempt.awaited.ended(sign, attempt.job.failedElsewhere(worker), now);
         if (sign == Sign.SERVED && warmth(worker) >= 1) {
-            rates.served(attempt, !health.wasDeaf(now), now);
+            rates.served(attempt, !health.wasStalled(now), now);
         } else if (sign == Sign.TURNED_AWAY) {
             double room = FULL_JOBS * jobWork.mean / Math.max(1e-3, worker.rate);
-            worker.health.full(now, Math.max(period / SECOND, room));
+            worker.health.recordFull(now, Math.max(period / SECOND, room));
         }
     }
 
@@ -621,10 +623,11 @@
         if (job.jobClass.effect() == Effect.UNSAFE || !worthless && job.outstanding < 2) {
             return false;
         }
-        boolean waits = settings.startsReported() && attempt.startedAt == 0 && !attempt.awaited.isTrial();
+        boolean waits = settings.startsReported() && attempt.startedAt == 0
+                && !attempt.awaited.isRecoveryProbe();
         boolean first = job.attempts.stream().noneMatch(each -> each.cancelled);
-        return worthless && waits && now > job.hopelessAt || attempt.awaited.gone(now) > CERTAINLY
-                && (first || attempt.awaited.isUnheard(now));
+        return worthless && waits && now > job.hopelessAt || attempt.awaited.lossProbability(now) > CERTAINLY
+                && (first || attempt.awaited.isRequiredSignMissing(now));
     }
 
     /**
@@ -632,20 +635,21 @@
      * costs no work, as it leaves one when it starts from the other. An attempt is kept for failures.
      */
     private boolean queuesUnseen(Attempt attempt) {
-        return standsTwice && attempt.startedAt == 0 && !attempt.lost && attempt.awaited.missing(now) > 0
+        return standsTwice && attempt.startedAt == 0 && !attempt.lost
+                && attempt.awaited.overdueMicros(now) > 0
                 && attempt.job.attempts.size() < settings.limits().maxAttempts() - 1;
     }
 
     /** Guards jobs against a silent worker: act when it will miss the aim and another worker would not. */
     private void rescue(Attempt attempt) {
         var job = attempt.job;
-        double sure = attempt.awaited.gone(now);
+        double sure = attempt.awaited.lossProbability(now);
         boolean queues = queuesUnseen(attempt);
         double remaining = sure > SURELY ? Double.MAX_VALUE
                 : 2 * silence(attempt) / SECOND + job.length() / attempt.worker.speed;
         if (queues) {
             noteQueue(attempt);
-        } else if (!health.purse().affordsCopy(sure, now) || now + remaining * SECOND <= job.aimAt) {
+        } else if (!health.retryBudget().canHedge(sure, now) || now + remaining * SECOND <= job.aimAt) {
             return;
         }
         boolean copies = settings.limits().secondCopies();
@@ -656,12 +660,12 @@
                 : finish(other, job) + (queues ? other.shown - other.wait : 0);
         boolean useful = now + wait * SECOND <= (job.jobClass.lateWorth() > 0 ? job.deadline : job.aimAt);
         // What has waited for a while may well wait for as long again: only a shorter queue is worth it.
-        if (!useful || queues && other.shown * SECOND > attempt.awaited.missing(now)
+        if (!useful || queues && other.shown * SECOND > attempt.awaited.overdueMicros(now)
                 || !queues && wait > remaining / 2) {
             return;
         }
         if (!queues) {
-            health.purse().copy(sure, now);
+            health.retryBudget().chargeHedge(sure, now);
         }
         if (copies) {
             send(job, other);
@@ -693,18 +697,18 @@
     /** Each dispatcher has an order of its own, so that few of them share a worker's connections. */
     private void regroup() {
         var ready = reach.list(workers.values());
-        health.list(ready.stream().map(worker -> worker.health).toList());
+        health.setListed(ready.stream().map(worker -> worker.health).toList());
         rates.list(ready);
     }
 
     private void update(WorkerInfo info) {
         var worker = workers.computeIfAbsent(info.id(),
-                id -> new Worker(id, settings.self(), health.box(id)));
+                id -> new Worker(id, settings.self(), health.worker(id)));
         if (worker.info != null && info.startedAt() > worker.info.startedAt()) {
             worker.startedAnew(now, info.startedAt());
         }
         worker.info = info;
-        worker.health.in(info.zone(), info.share());
+        worker.health.updatePlacement(info.zone(), info.share());
         byCode.put(worker.code, worker);
     }
 }
--- a/decisions/src/main/java/pipitladder/Discovered.java
+++ b/decisions/src/main/java/pipitladder/Discovered.java
@@ -9,7 +9,7 @@
 import pipitladder.Dispatcher.ListKind;
 import pipitladder.Ledger.Worker;
 import ryemast.membership.ListAge;
-import ryemast.pacing.ListCalls;
+import ryemast.pacing.DiscoveryCallSchedule;
 
 /**
  * What discovery's word, and its silence, mean for the list of workers: when to ask again, and whether the
@@ -27,7 +27,7 @@
             Comparator.comparingLong(Worker::usedAt).thenComparing(worker -> worker.attempts.size());
 
     private final ListAge age = new ListAge();
-    private final ListCalls calls;
+    private final DiscoveryCallSchedule calls;
     private final boolean pushed;
     private final long kept;
     private boolean wasOutdated;
@@ -39,7 +39,7 @@
      * @param pushed    whether changes come unasked
      * @param connIdle  after how long a worker closes an idle connection
      */
-    Discovered(ListCalls calls, boolean pushed, long connIdle) {
+    Discovered(DiscoveryCallSchedule calls, boolean pushed, long connIdle) {
         this.calls = calls;
         this.pushed = pushed;
         kept = (long) (connIdle * KEPT);
@@ -52,12 +52,12 @@
 
     /** Whether the worker may get a job, as it can't count as draining or gone. */
     boolean permits(Worker worker, long now) {
-        return age.permits(worker.health.life(), worker.health.provenAt(), now);
+        return age.permits(worker.health.processLife(), worker.health.lastAcceptedSentAt(), now);
     }
 
     /** When the worker's process started, or may have started unheard. */
     long startOf(Worker worker, long now) {
-        return Math.max(worker.info.startedAt(), age.mayHaveStartedAt(worker.health.life(), now));
+        return Math.max(worker.info.startedAt(), age.mayHaveStartedAt(worker.health.processLife(), now));
     }
 
     /**
@@ -66,19 +66,19 @@
      */
     Stream<Worker> outlastingList(Stream<Worker> workers, long now) {
         return age.isHeard() ? Stream.empty()
-                : workers.filter(worker -> worker.health.life().until() > now - kept
-                && age.outlastsList(worker.health.life(), now));
+                : workers.filter(worker -> worker.health.processLife().until() > now - kept
+                && age.outlastsList(worker.health.processLife(), now));
     }
 
     /** Until when an attempt that is sent there now may begin. */
     long usableUntil(Worker worker, long now) {
         if (age.isOutdated(now) && reliedOn.add(worker.id)) {
-            long lived = (now - worker.health.life().since()) / MICROS_PER_MS;
-            long sent = (now - worker.health.provenAt()) / MICROS_PER_MS;
+            long lived = (now - worker.health.processLife().since()) / MICROS_PER_MS;
+            long sent = (now - worker.health.lastAcceptedSentAt()) / MICROS_PER_MS;
             lines.add("jobs go to " + worker.id + " though the list is out of date: it has been one process"
                     + " for " + lived + " ms and took one that was sent " + sent + " ms ago");
         }
-        return age.usableUntil(worker.health.life(), worker.health.provenAt(), now);
+        return age.usableUntil(worker.health.processLife(), worker.health.lastAcceptedSentAt(), now);
     }
 
     /** Whether the list is too old and no worker has proven itself: other dispatchers may know more. */
@@ -93,14 +93,14 @@
                 return failed(kind, now);
             }
             case CHANGES, COMPLETE -> {
-                calls.heard();
+                calls.succeeded();
                 age.heard();
                 return NO_CALL;
             }
             case CACHED -> {
-                calls.heard();
+                calls.succeeded();
                 age.startedWithList(now);
-                return pushed ? NO_CALL : calls.first(now);
+                return pushed ? NO_CALL : calls.firstDelay(now);
             }
             default -> {
                 return NO_CALL;
@@ -118,13 +118,13 @@
             age.failed();
         }
         long wait = switch (kind) {
-            case BROKEN -> calls.broke(now);
+            case BROKEN -> calls.connectionBroken(now);
             case UNREACHABLE -> calls.unreachable(now);
             default -> calls.failed(now);
         };
         if (!pushed) {
             lines.add("discovery is asked again in " + wait / MICROS_PER_MS + " ms, after "
-                    + calls.described());
+                    + calls.describe());
         }
         return wait;
     }
--- a/decisions/src/main/java/pipitladder/Ledger.java
+++ b/decisions/src/main/java/pipitladder/Ledger.java
@@ -11,8 +11,8 @@
 import pipitladder.Dispatcher.WorkerInfo;
 import pipitladder.Dispatcher.WorkerState;
 import ryemast.fleet.signals.Borrowed;
-import ryemast.health.Awaited;
-import ryemast.health.Box;
+import ryemast.health.AttemptMonitor;
+import ryemast.health.WorkerHealth;
 import ryemast.health.Sign;
 import ryemast.limits.ColdBudget;
 
@@ -129,7 +129,7 @@
         private double excess;
         private long excessAt;
         /** What is believed of its health. */
-        final Box health;
+        final WorkerHealth health;
         /** Time and work of every send within the last cold window. */
         private final ArrayDeque<double[]> recent = new ArrayDeque<>();
         /** The last draw that took it; as a mark here, a draw of many costs no search in a list. */
@@ -145,7 +145,7 @@
         /** The part of the wait that this worker itself has shown, the usual wait left out. */
         double shown;
 
-        Worker(String id, int dispatcher, Box health) {
+        Worker(String id, int dispatcher, WorkerHealth health) {
             this.id = id;
             this.health = health;
             code = ColdBudget.mixed(id.hashCode()) & Note.CODES - 1;
@@ -173,7 +173,7 @@
 
         /** When a job was last sent there, or the worker was last seen to live if that is later. */
         long usedAt() {
-            return Math.max(sentAt, health.life().until());
+            return Math.max(sentAt, health.processLife().until());
         }
 
         void sent(long now, double work, long window) {
@@ -205,7 +205,7 @@
         /** What peers' signals come to now; null: nothing is known from them. */
         void borrow(Borrowed from, long now) {
             borrowed = from;
-            health.borrow(from == null ? 0 : from.sick(), now);
+            health.setPeerSuspicion(from == null ? 0 : from.sick(), now);
         }
 
         double toldSlots(long now) {
@@ -266,7 +266,7 @@
         /** Its process is new: nothing seen of the former one holds. */
         void startedAnew(long now, long start) {
             missed(now, 0);
-            health.startedAnew(start);
+            health.processRestarted(start);
             giveUpOnSentBefore(start);
         }
 
@@ -303,7 +303,7 @@
         final long dueAt;
         /** Until when it may be written to the worker. */
         final long beginBy;
-        final Awaited awaited;
+        final AttemptMonitor awaited;
         final double workAhead;
         long startedAt;
         boolean ended;
@@ -322,7 +322,8 @@
             this.sentAt = sentAt;
             this.dueAt = dueAt;
             this.beginBy = Math.min(beginBy, job.repeatsBeginBy());
-            this.awaited = worker.health.sent(sentAt, dueAt, job.length() / Math.max(1e-3, worker.speed),
+            this.awaited = worker.health.recordSend(sentAt, dueAt,
+                    job.length() / Math.max(1e-3, worker.speed),
                     job.request.jobClass());
             this.workAhead = worker.work;
         }
--- a/decisions/src/main/java/pipitladder/Rates.java
+++ b/decisions/src/main/java/pipitladder/Rates.java
@@ -90,7 +90,7 @@
         boolean seen = worker.usedSlots > 0 || evidence >= LEAST_EVIDENCE;
         var tale = !seen ? null : new Tale(Tale.code(worker.id), worker.usedSlots, Math.max(0, worker.work),
                 worker.logSpeed.samples > 0 ? Math.exp(worker.logSpeed.mean) : 0, worker.logSpeed.samples,
-                box.toTell(now), evidence, box.sinceSign(now));
+                box.peekLocalSickProbability(now), evidence, box.sinceLastSign(now));
         return new Own(worker.id, worker.info.startedAt(), slots(worker), speed(worker), tale);
     }
 
--- a/decisions/src/main/java/pipitladder/Reach.java
+++ b/decisions/src/main/java/pipitladder/Reach.java
@@ -86,7 +86,7 @@
             return;
         }
         lookAt = now + LOOK_EVERY;
-        int wide = widening.width(now, subset, id -> byId.get(id).health.isWell());
+        int wide = widening.width(now, subset, id -> byId.get(id).health.isUnrestricted());
         if (wide != width) {
             width = wide;
             useSubset();
--- a/decisions/src/main/java/ryemast/fleet/signals/Borrowed.java
+++ b/decisions/src/main/java/ryemast/fleet/signals/Borrowed.java
@@ -14,7 +14,7 @@
 
     /** Work that nobody confirms is taken to be done by a third after so many seconds. */
     static final double HELD_SECONDS = 1;
-    /** Opinions last as long as own ones do in {@link ryemast.health.Box}. */
+    /** Opinions last as long as own ones do in {@link ryemast.health.WorkerHealth}. */
     static final double OPINION_SECONDS = 8;
     private static final double SECOND = 1e6;
 
--- a/decisions/src/main/java/ryemast/health/Belief.java
+++ b/decisions/src/main/java/ryemast/health/Belief.java
@@ -3,35 +3,37 @@
 import java.util.Locale;
 
 /**
- * What is believed of a box, how sure that is, and why.
+ * The estimated health of a worker, with its probability and its cause.
  *
- * @param sick     how likely it is flaky or down, from 0 to 1
+ * @param sickProbability     probability that it is flaky or down, from 0 to 1
  * @param share    the part of its usual traffic that it gets
- * @param reason   the trouble seen most often since the box was last well; null if there was none
- * @param silence  seconds for which something is overdue now
+ * @param reason   the most frequent failure since the worker was last well; null if there was none
+ * @param overdueSeconds  seconds for which a sign of life is overdue now
  */
-public record Belief(String box, State state, double sick, Standing standing, double share, Sign reason,
-        double silence) {
+public record Belief(String worker, State state, double sickProbability, TrafficState trafficState,
+        double share, Sign reason,
+        double overdueSeconds) {
 
-    /** What it most probably is. */
+    /** The most probable state. */
     public enum State { WELL, FLAKY, DOWN, SILENT }
 
-    /** One line for the operators. */
-    public String words() {
+    /** One line for the operator log. */
+    public String description() {
         var opinion = switch (state) {
-            case WELL -> "is well";
+            case WELL -> "is healthy";
             case FLAKY -> "fails many jobs";
-            case DOWN -> "lets nothing through";
-            case SILENT -> "has gone silent";
+            case DOWN -> "fails all jobs";
+            case SILENT -> "does not respond";
         };
-        var why = silence > 0.001 ? String.format(Locale.ROOT, "signs overdue for %.2f s", silence)
-                : reason == null ? "nothing was amiss" : "jobs " + reason.words;
-        var traffic = switch (standing) {
+        var why = overdueSeconds > 0.001
+                ? String.format(Locale.ROOT, "signs overdue for %.2f s", overdueSeconds)
+                : reason == null ? "no failures" : "jobs " + reason.description;
+        var traffic = switch (trafficState) {
             case FULL -> "full traffic";
             case REDUCED -> String.format(Locale.ROOT, "%.0f%% of its traffic", 100 * share);
-            case TRIAL -> "trials only";
+            case EJECTED -> "recovery probes only";
         };
-        return String.format(Locale.ROOT, "worker %s %s (%.0f%% sure): %s; %s", box, opinion,
-                100 * (state == State.WELL ? 1 - sick : sick), why, traffic);
+        return String.format(Locale.ROOT, "worker %s %s (probability %.0f%%): %s; %s", worker, opinion,
+                100 * (state == State.WELL ? 1 - sickProbability : sickProbability), why, traffic);
     }
 }
--- a/decisions/src/main/java/ryemast/health/Sign.java
+++ b/decisions/src/main/java/ryemast/health/Sign.java
@@ -1,38 +1,38 @@
 package ryemast.health;
 
 /**
- * What a send may end in, as evidence about the box that got it.
+ * The result of an attempt, as evidence about the worker that it was sent to.
  *
- * <p>Each sign of trouble has the part of sends that is expected to end so at a box that is well, before the
- * fleet has shown more. The figures are deliberately higher than those of a good day, as a box must not be
- * blamed for what happens everywhere now and then.
+ * <p>Each failure has the share of attempts that is expected to end in it at a well worker, before the fleet
+ * has been observed. The rates are deliberately higher than in ordinary operation, so that a worker is not
+ * blamed for failures that occur everywhere now and then.
  */
 public enum Sign {
     SERVED(0, "served"),
     /** The job ran, or may have run, and ended in an error. */
     ERROR(0.03, "ended in errors"),
-    /** The connection broke, or the box told that it lost the job. */
+    /** The connection broke, or the worker reported that it lost the job. */
     RESET(0.03, "were reset or lost"),
-    /** A connection that had rested broke at its next use: one in four such breaks is nobody's trouble. */
-    KEPT_RESET(0.25, "broke on connections that had rested"),
-    /** A process that runs accepts connections, unless it holds as many as it may. */
-    NO_CONNECTION(0.01, "found no connection"),
-    /** Nothing came back at all, or too late. */
-    NOTHING(0.03, "were never heard of again"),
-    /** The box is full, which says nothing about its health. */
-    TURNED_AWAY(0, "were turned away"),
-    /** It was never sent, or we gave it up ourselves for another reason: no evidence. */
-    NO_EVIDENCE(0, "tell nothing");
+    /** An idle kept-alive connection broke when it was next used: one in four such breaks is no fault. */
+    KEPT_RESET(0.25, "broke on idle connections"),
+    /** No connection could be opened; a running process accepts them, unless it is at its limit. */
+    NO_CONNECTION(0.01, "could not connect"),
+    /** No result came back, or it came too late. */
+    NOTHING(0.03, "got no response"),
+    /** The worker is full, which is no evidence about its health. */
+    TURNED_AWAY(0, "were rejected"),
+    /** The attempt was never sent, or was abandoned for a reason other than the worker. */
+    NO_EVIDENCE(0, "give no evidence");
 
-    final double usual;
-    final String words;
+    final double baselineRate;
+    final String description;
 
-    Sign(double usual, String words) {
-        this.usual = usual;
-        this.words = words;
+    Sign(double baselineRate, String description) {
+        this.baselineRate = baselineRate;
+        this.description = description;
     }
 
-    boolean isTrouble() {
-        return usual > 0;
+    boolean isFailure() {
+        return baselineRate > 0;
     }
 }
--- a/decisions/src/main/java/ryemast/pacing/BlockingQuery.java
+++ b/decisions/src/main/java/ryemast/pacing/BlockingQuery.java
@@ -3,131 +3,131 @@
 import java.util.SplittableRandom;
 
 /**
- * The pace of one blocking query, as Consul's API documentation asks of clients: the index of each answer
- * goes with the next call; one that goes backwards, as after a restore or at another server, is forgotten, so
- * that the next call returns at once with the present state; one that is not above 0 counts as 1; and
- * whatever the server does, calls are limited in rate: by a bucket that an answer takes from and that fills
- * evenly. Setbacks are followed by pauses that double, with full jitter (each between nothing and the bound,
- * so that dispatchers which lost their server together do not come back together), at the next server in
- * order where another one may do better; the first one is tried again after a while.
+ * The schedule of one blocking query, as Consul's API documentation requires of clients: the index of each
+ * answer is passed with the next call; an index that goes backwards, as after a restore or at another server,
+ * is reset, so that the next call returns the present state at once; one that is not above 0 counts as 1; and
+ * calls are limited in rate whatever the server does, by a token bucket. Failures are followed by exponential
+ * backoff with full jitter (each pause between 0 and the bound, so that dispatchers which lost their server
+ * together do not reconnect together). The next call goes to the next server in order where another one may
+ * succeed; after {@link PollingPolicy#failbackAfter} the first server is used again.
  *
- * <p>Exactly one call is out at a time: {@link #ask} after {@link #askAt}, then one of {@link #answered} and
- * {@link #setBack}.
+ * <p>Exactly one call is outstanding at a time: {@link #startCall} at {@link #nextCallAt} or later, then
+ * either {@link #answered} or {@link #failed}.
  */
 public final class BlockingQuery {
 
     /**
      * A call to make now.
      *
-     * @param server    which of the servers, from 0
-     * @param index     0: answer at once
-     * @param hold      how long the server may hold it
-     * @param giveUpAt  when it has failed
+     * @param server    number of the server, from 0
+     * @param index     the index to wait on; 0: the server answers at once
+     * @param maxWait      the longest time that the server may wait for a change
+     * @param deadline  when the call has failed if there is no answer
      */
-    public record Ask(int server, long index, long hold, long giveUpAt) {
+    public record Call(int server, long index, long maxWait, long deadline) {
     }
 
-    /** What an answer means. */
+    /** What an answer means for the state that is watched. */
     public enum Answer {
-        /** The state is another one than before. */
-        NEWS,
-        /** Nothing has changed since the last answer. */
-        NOTHING_NEW,
-        /** The server counts anew: its answer is from another history than the last one. */
-        SET_BACK
+        /** The state differs from the previous one. */
+        CHANGED,
+        /** Nothing has changed since the previous answer. */
+        UNCHANGED,
+        /** The index went backwards: the server's state does not continue the previous one. */
+        INDEX_RESET
     }
 
-    private static final int MOST_DOUBLINGS = 16;
+    private static final int MAX_DOUBLINGS = 16;
 
-    private final Pace pace;
-    private final int servers;
+    private final PollingPolicy policy;
+    private final int serverCount;
     private final SplittableRandom random;
     private int server;
-    private long awayFrom = Long.MAX_VALUE;
+    private long failedOverAt = Long.MAX_VALUE;
     private long index;
     private boolean answeredOnce;
-    private long askAt;
-    private int setbacks;
-    /** Answers that the bucket has room for, in so many microseconds of filling. */
-    private double spent;
-    private long spentAt;
-
-    /** {@code seed}: what the jitter is drawn from. */
-    public BlockingQuery(Pace pace, int servers, long seed) {
-        if (servers < 1) {
-            throw new IllegalArgumentException("no server to ask");
+    private long nextCallAt;
+    private int failures;
+    /** Tokens used up as of {@link #tokensUpdatedAt}; one each {@link PollingPolicy#interval} is refilled. */
+    private double usedTokens;
+    private long tokensUpdatedAt;
+
+    /** {@code seed}: of the jitter. */
+    public BlockingQuery(PollingPolicy policy, int serverCount, long seed) {
+        if (serverCount < 1) {
+            throw new IllegalArgumentException("at least one server is required");
         }
-        this.pace = pace;
-        this.servers = servers;
+        this.policy = policy;
+        this.serverCount = serverCount;
         random = new SplittableRandom(seed);
     }
 
-    /** When the next call is due. */
-    public long askAt() {
-        return askAt;
+    /** The earliest time of the next call. */
+    public long nextCallAt() {
+        return nextCallAt;
     }
 
-    /** Setbacks in a row. */
-    public int setbacks() {
-        return setbacks;
+    /** Number of consecutive failures. */
+    public int failures() {
+        return failures;
     }
 
     public int server() {
         return server;
     }
 
-    public Ask ask(long now) {
-        if (server > 0 && now >= awayFrom + pace.homeAfter()) {
-            move(0, now);
+    public Call startCall(long now) {
+        if (server > 0 && now >= failedOverAt + policy.failbackAfter()) {
+            switchServer(0, now);
         }
-        long hold = index == 0 ? 0 : pace.hold();
-        // A server adds up to a sixteenth to the wait, so that its clients do not all come at once.
-        return new Ask(server, index, hold, now + hold + hold / 16 + pace.slack());
+        long maxWait = index == 0 ? 0 : policy.maxWait();
+        // Consul adds up to a sixteenth to the wait as jitter, to spread the calls of its clients.
+        return new Call(server, index, maxWait, now + maxWait + maxWait / 16 + policy.answerSlack());
     }
 
-    /** Whether an answer of this index says nothing that an earlier one has not said. */
-    public boolean knows(long newIndex) {
+    /** Whether an answer with this index contains nothing new. */
+    public boolean isKnown(long newIndex) {
         return answeredOnce && Math.max(1, newIndex) == index;
     }
 
-    /** To be called once the answer has been understood; one that can't be is a setback. */
+    /** To be called once the answer has been parsed; one that can't be is a failure ({@link #failed}). */
     public Answer answered(long now, long newIndex) {
-        setbacks = 0;
-        long found = Math.max(1, newIndex);
-        var meaning = answeredOnce && found < index ? Answer.SET_BACK
-                : knows(newIndex) ? Answer.NOTHING_NEW : Answer.NEWS;
+        failures = 0;
+        long received = Math.max(1, newIndex);
+        var answer = answeredOnce && received < index ? Answer.INDEX_RESET
+                : isKnown(newIndex) ? Answer.UNCHANGED : Answer.CHANGED;
         answeredOnce = true;
-        index = meaning == Answer.SET_BACK ? 0 : found;
-        spent = Math.max(0, spent - (double) (now - spentAt) / pace.every());
-        spentAt = now;
-        spent = Math.min(pace.burst(), spent + 1);
-        askAt = now + (long) (Math.max(0, spent - (pace.burst() - 1)) * pace.every());
-        return meaning;
+        index = answer == Answer.INDEX_RESET ? 0 : received;
+        usedTokens = Math.max(0, usedTokens - (double) (now - tokensUpdatedAt) / policy.interval());
+        tokensUpdatedAt = now;
+        usedTokens = Math.min(policy.burst(), usedTokens + 1);
+        nextCallAt = now + (long) (Math.max(0, usedTokens - (policy.burst() - 1)) * policy.interval());
+        return answer;
     }
 
     /**
-     * The last answer is doubted: the next call is to bring the present state at once, whatever its index.
+     * Drops the index, so that the next call returns the present state at once.
      */
-    public void doubt() {
+    public void resetIndex() {
         index = 0;
     }
 
-    public void setBack(long now, Setback why) {
-        boolean slow = !why.elsewhere;
-        long bound = Math.min(slow ? 4 * pace.mostPause() : pace.mostPause(),
-                (slow ? pace.longPause() : pace.firstPause()) << Math.min(MOST_DOUBLINGS, setbacks));
-        setbacks++;
-        long least = slow ? bound / 2 : 0;
-        askAt = now + least + random.nextLong(Math.max(1, bound - least));
-        if (why.elsewhere && servers > 1) {
-            move((server + 1) % servers, now);
+    public void failed(long now, CallFailure failure) {
+        boolean slow = !failure.otherServerMayHelp;
+        long bound = Math.min(slow ? 4 * policy.maxBackoff() : policy.maxBackoff(),
+                (slow ? policy.slowBackoff() : policy.initialBackoff()) << Math.min(MAX_DOUBLINGS, failures));
+        failures++;
+        long min = slow ? bound / 2 : 0;
+        nextCallAt = now + min + random.nextLong(Math.max(1, bound - min));
+        if (failure.otherServerMayHelp && serverCount > 1) {
+            switchServer((server + 1) % serverCount, now);
         }
     }
 
-    /** Another server's index may mean another state: its first answer comes at once. */
-    private void move(int to, long now) {
-        awayFrom = to == 0 ? Long.MAX_VALUE : server == 0 ? now : awayFrom;
-        server = to;
+    /** An index is valid at one server only: the first call to another one is made without. */
+    private void switchServer(int next, long now) {
+        failedOverAt = next == 0 ? Long.MAX_VALUE : server == 0 ? now : failedOverAt;
+        server = next;
         index = 0;
     }
 }
--- a/decisions/src/main/java/ryemast/pacing/FairQueue.java
+++ b/decisions/src/main/java/ryemast/pacing/FairQueue.java
@@ -7,32 +7,32 @@
 import java.util.Map;
 
 /**
- * Whose turn it is: deficit round robin over tenants (Shreedhar and Varghese, "Efficient Fair Queuing using
- * Deficit Round Robin", SIGCOMM 1995), and within a tenant plain turns over its lines, so that an array of a
- * hundred thousand jobs does not stand before a later array of three. Guarantees that a tenant with something
- * to do gets its weight's share of the work handed out, measured in the jobs' expected cost, to within one
- * quantum and one job, whatever the others hold; and that {@link #next} takes amortised constant time, since
- * the quantum grows with the dearest job seen: a turn that passes by everybody pays somebody.
+ * Deficit round robin over tenants (Shreedhar and Varghese, "Efficient Fair Queuing using Deficit Round
+ * Robin", SIGCOMM 1995), and plain round robin over the flows of a tenant, so that an array of a hundred
+ * thousand jobs does not block a later array of three. Guarantees that a tenant with queued jobs gets its
+ * weighted share of the work, measured in the jobs' expected cost, to within one quantum and one job, however
+ * much the others have queued; and that {@link #next} takes amortised constant time, since the quantum grows
+ * with the most expensive job seen, so that some tenant can send after each full round.
  *
- * <p>It knows lines by number only: what a line holds, and what its next job costs, its user says when it is
- * served. A line is either waiting here or not; one that has nothing to hand out for the moment is taken out
- * by {@link #leave} and comes back by {@link #join}.
+ * <p>Flows are known by number only: the caller keeps their jobs and supplies the cost of the next one. A
+ * flow is either active or not; one without a job to send for now is removed by {@link #deactivate} and added
+ * again by {@link #activate}.
  */
 public final class FairQueue {
 
-    /** In microseconds of work; smaller jobs than this are served several to a turn. */
-    private static final double LEAST_QUANTUM = 1_000_000;
+    /** In microseconds of work; of jobs smaller than this several are sent in one turn. */
+    private static final double MIN_QUANTUM = 1_000_000;
 
     private final double[] weights;
     private final double[] deficits;
-    /** A tenant's lines in the order of their turns. */
-    private final Map<Integer, Deque<Long>> lines = new HashMap<>();
+    /** A tenant's active flows, in round-robin order. */
+    private final Map<Integer, Deque<Long>> flows = new HashMap<>();
     private final Map<Long, Integer> tenantOf = new HashMap<>();
-    /** Tenants that have a line, in the order of their turns. */
-    private final Deque<Integer> turns = new ArrayDeque<>();
-    private double quantum = LEAST_QUANTUM;
+    /** Tenants with an active flow, in round-robin order. */
+    private final Deque<Integer> activeTenants = new ArrayDeque<>();
+    private double quantum = MIN_QUANTUM;
 
-    /** {@code weights}: by tenant, each above 0; what share of the work each may have when all want some. */
+    /** {@code weights}: by tenant, each above 0; the shares of the work while all tenants are active. */
     public FairQueue(double... weights) {
         if (weights.length == 0 || Arrays.stream(weights).anyMatch(each -> !(each > 0))) {
             throw new IllegalArgumentException("weights must be above 0: " + Arrays.toString(weights));
@@ -45,68 +45,68 @@
         deficits = new double[weights.length];
     }
 
-    /** The line has something to hand out from now on; one that waits already is left where it is. */
-    public void join(long line, int tenant) {
-        if (tenantOf.putIfAbsent(line, tenant) != null) {
+    /** Marks a flow as having jobs to send; one that is active already keeps its place. */
+    public void activate(long flow, int tenant) {
+        if (tenantOf.putIfAbsent(flow, tenant) != null) {
             return;
         }
-        var own = lines.computeIfAbsent(tenant, key -> new ArrayDeque<>());
-        if (own.isEmpty()) {
-            turns.addLast(tenant);
+        var tenantFlows = flows.computeIfAbsent(tenant, key -> new ArrayDeque<>());
+        if (tenantFlows.isEmpty()) {
+            activeTenants.addLast(tenant);
         }
-        own.addLast(line);
+        tenantFlows.addLast(flow);
     }
 
-    /** The line has nothing to hand out, at least for now. */
-    public void leave(long line) {
-        var tenant = tenantOf.remove(line);
+    /** Removes a flow that has no jobs to send for now. */
+    public void deactivate(long flow) {
+        var tenant = tenantOf.remove(flow);
         if (tenant == null) {
             return;
         }
-        var own = lines.get(tenant);
-        own.remove(line);
-        if (own.isEmpty()) {
-            turns.remove(tenant);
-            // A tenant that has nothing to do saves nothing up.
+        var tenantFlows = flows.get(tenant);
+        tenantFlows.remove(flow);
+        if (tenantFlows.isEmpty()) {
+            activeTenants.remove(tenant);
+            // An idle tenant accumulates no deficit.
             deficits[tenant] = 0;
         }
     }
 
-    /** Whether any line waits. */
+    /** Whether no flow is active. */
     public boolean isEmpty() {
-        return turns.isEmpty();
+        return activeTenants.isEmpty();
     }
 
-    /** What the next job of a line costs, in microseconds of expected work, above 0. */
-    public interface Costs {
-        double of(long line);
+    /** The cost of a flow's next job, in microseconds of expected work, above 0. */
+    public interface CostFunction {
+        double nextCost(long flow);
     }
 
     /**
-     * The line whose next job is to go out now; it goes to the end of its tenant's lines, and its tenant has
-     * paid for the job. To be called only if there is one.
+     * The flow whose next job is to be sent now; it moves to the end of its tenant's flows, and the tenant is
+     * charged the job's cost. To be called only if a flow is active.
      */
-    public long next(Costs costs) {
+    public long next(CostFunction costs) {
         while (true) {
-            int tenant = turns.getFirst();
-            var own = lines.get(tenant);
-            long line = own.getFirst();
-            double cost = costs.of(line);
+            int tenant = activeTenants.getFirst();
+            var tenantFlows = flows.get(tenant);
+            long flow = tenantFlows.getFirst();
+            double cost = costs.nextCost(flow);
             quantum = Math.max(quantum, cost);
             if (deficits[tenant] >= cost) {
                 deficits[tenant] -= cost;
-                own.addLast(own.removeFirst());
-                return line;
+                tenantFlows.addLast(tenantFlows.removeFirst());
+                return flow;
             }
-            // Its turn is over: what it could not spend it keeps, and the next one has its turn.
-            turns.addLast(turns.removeFirst());
+            // The turn ends: the tenant keeps its remaining deficit, and the next tenant follows.
+            activeTenants.addLast(activeTenants.removeFirst());
             deficits[tenant] += quantum * weights[tenant];
         }
     }
 
-    /** The job that was handed out did not go: its tenant gets back what it paid. */
+    /** A job was not sent after all: its cost is credited to its tenant again. */
     public void refund(int tenant, double cost) {
-        if (lines.containsKey(tenant) && !lines.get(tenant).isEmpty()) {
+        if (flows.containsKey(tenant) && !flows.get(tenant).isEmpty()) {
             deficits[tenant] += cost;
         }
     }
--- a/decisions/src/main/java/ryemast/pacing/Heartbeat.java
+++ b/decisions/src/main/java/ryemast/pacing/Heartbeat.java
@@ -1,22 +1,21 @@
 package ryemast.pacing;
 
 /**
- * When to say again that we are alive to one who takes silence for death after a stated time. A beat is due
- * at a third of that time, so that two may be lost; one that failed is tried again sooner. What it beats for
- * must be alive itself: whoever calls this does so from the loop that the beat speaks for, and a loop that
- * stands still lets it lapse.
+ * When to send the next heartbeat to a registry that takes a process for dead after a time to live. One is
+ * due each third of that time, so that two may be lost; a failed one is repeated sooner. It is to be called
+ * from the event loop whose liveness it reports, so that the heartbeat expires if the loop stalls.
  */
 public final class Heartbeat {
 
-    private static final int BEATS = 3;
-    private static final int TRIES = 12;
+    private static final int BEATS_PER_TTL = 3;
+    private static final int RETRIES_PER_TTL = 12;
 
     private final long timeToLive;
     private long dueAt;
-    private long heardAt = Long.MIN_VALUE / 2;
+    private long succeededAt = Long.MIN_VALUE / 2;
     private int failures;
 
-    /** {@code timeToLive}: after so long without a beat we count as dead, in microseconds. */
+    /** {@code timeToLive}: the time after the last heartbeat at which it expires, in microseconds. */
     public Heartbeat(long timeToLive) {
         this.timeToLive = timeToLive;
     }
@@ -25,20 +24,21 @@
         return dueAt;
     }
 
-    public void taken(long now) {
-        heardAt = now;
+    public void succeeded(long now) {
+        succeededAt = now;
         failures = 0;
-        dueAt = now + timeToLive / BEATS;
+        dueAt = now + timeToLive / BEATS_PER_TTL;
     }
 
-    /** The pauses between tries double, from a twelfth of the time to a third of it. */
+    /** The backoff doubles with each failure, from a twelfth of the time to live to a third of it. */
     public void failed(long now) {
-        dueAt = now + Math.min(timeToLive / BEATS, timeToLive / TRIES << Math.min(8, failures));
+        dueAt = now + Math.min(timeToLive / BEATS_PER_TTL,
+                timeToLive / RETRIES_PER_TTL << Math.min(8, failures));
         failures++;
     }
 
-    /** Whether we count as dead by now: as one who is not known any more must first be made known again. */
-    public boolean lapsed(long now) {
-        return now - heardAt > timeToLive;
+    /** Whether the time to live has passed, so that the process has to be registered again. */
+    public boolean isExpired(long now) {
+        return now - succeededAt > timeToLive;
     }
 }
--- a/decisions/src/main/java/ryemast/pacing/package-info.java
+++ b/decisions/src/main/java/ryemast/pacing/package-info.java
@@ -1,6 +1,6 @@
 /**
- * When to ask, and whom: decides for whoever polls, watches or keeps something alive how soon the next call
- * is, at which of several servers, and when one has failed. No I/O, clocks or threads; chance comes from a
- * seed.
+ * Scheduling of calls and jobs: when the next poll, watch or heartbeat is due and at which of several
+ * servers, when a call has failed, and how many batch jobs may be in flight, in which order. No I/O, clocks
+ * or threads; random numbers come from a seed.
  */
 package ryemast.pacing;
--- a/decisions/src/test/java/pipitladder/RatesTest.java
+++ b/decisions/src/test/java/pipitladder/RatesTest.java
@@ -8,14 +8,14 @@
 import pipitladder.Dispatcher.KeyScope;
 import pipitladder.Dispatcher.Tenant;
 import pipitladder.Ledger.Worker;
-import ryemast.health.Health;
+import ryemast.health.OutlierDetector;
 
 class RatesTest {
 
-    private final Health health = new Health(true, 0, 10_000, 0, 20);
+    private final OutlierDetector health = new OutlierDetector(true, 0, 10_000, 0, 20);
 
     private Worker worker(String id, double weight) {
-        var worker = new Worker(id, 0, health.box(id));
+        var worker = new Worker(id, 0, health.worker(id));
         worker.info = new Dispatcher.WorkerInfo(id, Dispatcher.WorkerState.READY, 0, 0, 0, weight, 0);
         return worker;
     }
--- a/decisions/src/test/java/pipitladder/SickBoxTest.java
+++ b/decisions/src/test/java/pipitladder/SickBoxTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import pipitladder.Dispatcher.Effect;
-import ryemast.health.Standing;
+import ryemast.health.TrafficState;
 
 /**
  * One box of twenty falls sick for three seconds under 500 jobs a second, a fifth of them of the kind that
@@ -61,7 +61,7 @@
             fleet.serve(box);
             long until = fleet.now;
             fleet.pass(2 * S);
-            boolean aside = fleet.brain.health().box(box.id).standing() == Standing.TRIAL;
+            boolean aside = fleet.brain.health().worker(box.id).trafficState() == TrafficState.EJECTED;
             fleet.pass(13 * S);
             var story = trouble + ", seed " + seed + ": " + fleet;
             int first = fleet.sentTo(box, from, from + 200 * MS);
@@ -85,6 +85,7 @@
         fleet.stall(2 * S);
         fleet.pass(10 * S);
         assertTrue(fleet.sends <= fleet.asked + 8, fleet.toString());
-        assertTrue(fleet.log.stream().noneMatch(line -> line.contains("trials only")), fleet.log.toString());
+        assertTrue(fleet.log.stream().noneMatch(line -> line.contains("recovery probes only")),
+                fleet.log.toString());
     }
 }
--- a/decisions/src/test/java/ryemast/fleet/choices/TurnsTest.java
+++ b/decisions/src/test/java/ryemast/fleet/choices/TurnsTest.java
@@ -10,7 +10,7 @@
 import java.util.function.IntUnaryOperator;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import ryemast.pacing.ListCalls;
+import ryemast.pacing.DiscoveryCallSchedule;
 
 class TurnsTest {
 
@@ -112,8 +112,8 @@
                 var random = new SplittableRandom(self);
                 double turn = dispatchers == 1 ? 0 : Math.min(0.0025, 1.0 / dispatchers);
                 long before = 1 + (long) (10 * SECOND * turn * (self + random.nextDouble()));
-                assertEquals(before, new ListCalls(self, dispatchers, 10 * SECOND, false,
-                        new SplittableRandom(self)).first(0));
+                assertEquals(before, new DiscoveryCallSchedule(self, dispatchers, 10 * SECOND, false,
+                        new SplittableRandom(self)).firstDelay(0));
             }
         }
     }
--- a/decisions/src/test/java/ryemast/fleet/signals/PlantedFaultsTest.java
+++ b/decisions/src/test/java/ryemast/fleet/signals/PlantedFaultsTest.java
@@ -28,7 +28,7 @@
     private static final String BORROWED = "ryemast/fleet/signals/Borrowed";
     private static final String RATES = "pipitladder/Rates";
     private static final String LEDGER = "pipitladder/Ledger";
-    private static final String BOX = "ryemast/health/Box";
+    private static final String BOX = "ryemast/health/WorkerHealth";
     private static final String IN_PLAY = "";
     private static final String SIGNALS_TEST = "ryemast.fleet.signals.SignalsTest.";
     private static final String TIMING_TEST = "ryemast.fleet.signals.TimingTest.";
@@ -41,7 +41,8 @@
     private static final List<Fault> FAULTS = List.of(
             new Fault("jobs that peers told of are told on", RATES, "worker.usedSlots, Math.max(",
                     "worker.usedSlots + worker.toldSlots(now), Math.max(", IN_PLAY),
-            new Fault("suspicion that peers told of is told on", RATES, "box.toTell(now)", "box.sick(now)",
+            new Fault("suspicion that peers told of is told on", RATES, "box.peekLocalSickProbability(now)",
+                    "box.sickProbability(now)",
                     IN_PLAY),
             new Fault("an opinion of one peer is believed", SIGNALS, "QUORUM = 2", "QUORUM = 1", IN_PLAY),
             new Fault("our own voice is left out where few tell", SIGNALS,
@@ -89,8 +90,8 @@
                     "peer.at(code) - tale.age() >= belief.startedAt()", "true", IN_PLAY),
             new Fault("borrowed suspicion outranks own evidence", BOX, " / (1 + evidence(now));", ";",
                     IN_PLAY),
-            new Fault("borrowed suspicion sets a worker aside", BOX, "MOST_BORROWED = 0.6",
-                    "MOST_BORROWED = 1", IN_PLAY),
+            new Fault("borrowed suspicion sets a worker aside", BOX, "MAX_PEER_SUSPICION = 0.6",
+                    "MAX_PEER_SUSPICION = 1", IN_PLAY),
             new Fault("a borrowed speed raises the cold budget", RATES,
                     "double speed = speed(worker);", "double speed = believed(worker, now);",
                     PEERS_TOLD + "nothingBorrowedRaisesWhatTheColdRuleAllows"),
--- a/decisions/src/test/java/ryemast/fleet/signals/SignalsJudge.java
+++ b/decisions/src/test/java/ryemast/fleet/signals/SignalsJudge.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
-import ryemast.health.Box;
-import ryemast.health.Standing;
+import ryemast.health.WorkerHealth;
+import ryemast.health.TrafficState;
 
 /**
  * The books of one life of a member in a {@link SignalsTrial}: what came over each link, in its sender's own
@@ -275,17 +275,17 @@
     }
 
     /** What others say sets nobody aside, and weighs little beside fresh evidence of our own. */
-    void stands(long now, String worker, Box box, Map<String, String> breaches) {
+    void stands(long now, String worker, WorkerHealth box, Map<String, String> breaches) {
         var mine = used.get(worker);
         if (mine != null && !mine.isWithoutTrouble(now)) {
             return;
         }
-        if (box.standing() == Standing.TRIAL) {
+        if (box.trafficState() == TrafficState.EJECTED) {
             breach(breaches, "aside", worker + " was never seen to fail");
         }
         if (mine != null) {
             mine.served.removeIf(at -> now - at > 2 * S);
-            if (mine.served.size() >= 6 && box.sick(now) > 0.15) {
+            if (mine.served.size() >= 6 && box.sickProbability(now) > 0.15) {
                 breach(breaches, "first", worker + " is suspect, " + mine.served.size() + " served in 2 s");
             }
         }
--- a/decisions/src/test/java/ryemast/fleet/signals/SignalsTrial.java
+++ b/decisions/src/test/java/ryemast/fleet/signals/SignalsTrial.java
@@ -184,7 +184,7 @@
                     handle(new PeersTold(borrowed));
                 }
                 machines.values().forEach(each -> judge.stands(here, each.id,
-                        brain.health().box(each.id), breaches));
+                        brain.health().worker(each.id), breaches));
             }
             after(PERIOD, () -> turn(of));
         }
--- a/decisions/src/test/java/ryemast/health/EvidenceTest.java
+++ b/decisions/src/test/java/ryemast/health/EvidenceTest.java
@@ -12,66 +12,67 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Running sums against slow references that go through all that was seen, as the definitions say. */
+/** Checks the incremental estimates against slow references computed from all observations. */
 class EvidenceTest {
 
-    private record Seen(Sign sign, int jobClass, double weight, long gap) { }
+    private record Observation(Sign sign, int jobClass, double weight, long gap) { }
 
     @Provide
-    Arbitrary<List<Seen>> signs() {
+    Arbitrary<List<Observation>> signs() {
         var sign = Arbitraries.of(Sign.SERVED, Sign.SERVED, Sign.SERVED, Sign.RESET, Sign.ERROR,
                 Sign.NO_CONNECTION, Sign.NOTHING);
         return Combinators.combine(sign, Arbitraries.integers().between(0, 2),
                 Arbitraries.doubles().between(0, 1), Arbitraries.longs().between(0, 3_000_000))
-                .as(Seen::new).list().ofMinSize(1).ofMaxSize(60);
+                .as(Observation::new).list().ofMinSize(1).ofMaxSize(60);
     }
 
     /** Every sign counts its weight, times 0.998 for each later one, times e^-(age / 10 s). */
     @Property(tries = 200, seed = "8")
-    void commonRatesAreFadedShares(@ForAll("signs") List<Seen> signs) {
-        var rates = new CommonRates();
-        var at = new long[signs.size()];
+    void baselineRatesAreDecayedShares(@ForAll("signs") List<Observation> signs) {
+        var baseline = new BaselineRates();
+        var times = new long[signs.size()];
         long now = 0;
         for (int i = 0; i < signs.size(); i++) {
             now += signs.get(i).gap();
-            at[i] = now;
-            rates.count(signs.get(i).sign(), signs.get(i).jobClass(), signs.get(i).weight(), now);
+            times[i] = now;
+            baseline.count(signs.get(i).sign(), signs.get(i).jobClass(), signs.get(i).weight(), now);
         }
         for (var sign : List.of(Sign.RESET, Sign.NO_CONNECTION)) {
-            double fleet = share(signs, at, sign, -1, 50);
-            double ofClass = share(signs, at, sign, 1, 20);
-            double expected = Math.min(0.9, Math.max(sign.usual, Math.max(fleet, ofClass)));
-            assertEquals(expected, rates.expected(sign, 1, false), 1e-9);
-            assertEquals(Math.min(0.9, Math.max(0.4, expected)), rates.expected(sign, 1, true), 1e-9);
+            double fleet = share(signs, times, sign, -1, 50);
+            double ofClass = share(signs, times, sign, 1, 20);
+            double expected = Math.min(0.9, Math.max(sign.baselineRate, Math.max(fleet, ofClass)));
+            assertEquals(expected, baseline.expectedRate(sign, 1, false), 1e-9);
+            assertEquals(Math.min(0.9, Math.max(0.4, expected)), baseline.expectedRate(sign, 1, true), 1e-9);
         }
     }
 
-    private static double share(List<Seen> signs, long[] at, Sign sign, int jobClass, double usualSigns) {
-        double all = usualSigns;
-        double found = usualSigns * sign.usual;
+    private static double share(List<Observation> signs, long[] times, Sign sign, int jobClass,
+            double priorWeight) {
+        double total = priorWeight;
+        double matching = priorWeight * sign.baselineRate;
         double later = 0;
         long last = 0;
-        boolean any = false;
+        boolean found = false;
         for (int i = signs.size() - 1; i >= 0; i--) {
             var each = signs.get(i);
             if (jobClass >= 0 && each.jobClass() != jobClass) {
                 continue;
             }
-            last = any ? last : at[i];
-            any = true;
-            double weight = each.weight() * Math.pow(0.998, later++) * Math.exp((at[i] - last) / 1e6 / 10);
-            all += weight;
-            found += each.sign() == sign ? weight : 0;
+            last = found ? last : times[i];
+            found = true;
+            double weight = each.weight() * Math.pow(0.998, later++) * Math.exp((times[i] - last) / 1e6 / 10);
+            total += weight;
+            matching += each.sign() == sign ? weight : 0;
         }
-        return found / all;
+        return matching / total;
     }
 
-    /** The belief follows Bayes in odds, with a floor for changes, where nothing had time to age. */
+    /** The posterior follows Bayes' rule in odds form, with least probabilities, where no time has passed. */
     @Property(tries = 200, seed = "9")
-    void beliefsAreProductsOfLikelihoods(@ForAll("signs") List<Seen> signs) {
-        var health = new Health(true, 0, 10_000, 0, 1);
-        var box = health.box("w");
-        health.list(List.of(box));
+    void posteriorsAreProductsOfLikelihoods(@ForAll("signs") List<Observation> signs) {
+        var detector = new OutlierDetector(true, 0, 10_000, 0, 1);
+        var worker = detector.worker("w");
+        detector.setListed(List.of(worker));
         double flaky = 0.005;
         double down = 0.01;
         long now = 1_000_000;
@@ -79,20 +80,20 @@
             if (each.sign() == Sign.NOTHING) {
                 continue;
             }
-            double expected = health.rates.expected(each.sign(), each.jobClass(), false);
-            var job = box.sent(now, now, 0.1, each.jobClass());
+            double expected = detector.baseline.expectedRate(each.sign(), each.jobClass(), false);
+            var job = worker.recordSend(now, now, 0.1, each.jobClass());
             job.started(now);
             job.ended(each.sign(), false, now);
             boolean served = each.sign() == Sign.SERVED;
             double oddsFlaky = flaky / (1 - flaky - down) * (served ? 0.5 : (1 + expected) / 2 / expected);
             double oddsDown = down / (1 - flaky - down) * (served ? 0.02 : 0.98 / expected);
-            double all = 1 + oddsFlaky + oddsDown;
-            double sum = Math.max(0.001, 1 / all) + Math.max(0.001, oddsFlaky / all)
-                    + Math.max(0.002, oddsDown / all);
-            flaky = Math.max(0.001, oddsFlaky / all) / sum;
-            down = Math.max(0.002, oddsDown / all) / sum;
+            double total = 1 + oddsFlaky + oddsDown;
+            double sum = Math.max(0.001, 1 / total) + Math.max(0.001, oddsFlaky / total)
+                    + Math.max(0.002, oddsDown / total);
+            flaky = Math.max(0.001, oddsFlaky / total) / sum;
+            down = Math.max(0.002, oddsDown / total) / sum;
         }
-        assertEquals(flaky + down, box.sick(now), 1e-9);
+        assertEquals(flaky + down, worker.sickProbability(now), 1e-9);
     }
 
     @Provide
@@ -102,14 +103,14 @@
                 .list().ofMinSize(30).ofMaxSize(120);
     }
 
-    /** The fitted line against one through the weighted points, and a tail that only falls. */
+    /** The fit equals a weighted regression over all points, and the survival function never increases. */
     @Property(tries = 100, seed = "10")
-    void runTimesFollowAFadedLine(@ForAll("runs") List<double[]> runs) {
-        var learned = new RunTimes();
+    void runTimeModelMatchesWeightedRegression(@ForAll("runs") List<double[]> runs) {
+        var model = new RunTimeModel();
         var points = new ArrayList<double[]>();
         for (var run : runs) {
             double time = Math.sqrt(run[0]) * run[1];
-            learned.learn(run[0], time);
+            model.learn(run[0], time);
             points.add(new double[] {Math.log(run[0]), Math.log(time)});
         }
         double weights = 0;
@@ -134,33 +135,33 @@
         double part = weights / (weights + 8);
         double x = Math.log(0.5);
         double median = Math.exp(x + part * (meanY - meanX) + part * (slope - 1) * (x - meanX));
-        assertEquals(median, learned.median(0.5), 1e-6 * median);
+        assertEquals(median, model.median(0.5), 1e-6 * median);
         double before = 1;
         for (double time = 0.001; time < 1000; time *= 2) {
-            double longer = learned.longer(0.5, time);
-            assertTrue(longer <= before && longer >= 0);
-            before = longer;
+            double survival = model.survival(0.5, time);
+            assertTrue(survival <= before && survival >= 0);
+            before = survival;
         }
-        assertEquals(0.5, learned.longer(0.5, median), 1e-6);
+        assertEquals(0.5, model.survival(0.5, median), 1e-6);
     }
 
-    /** Extra sends are at most what first sends have paid in, what comes in by itself, and the start. */
+    /** Extra sends are at most the initial balance, the deposits of first sends and the refill together. */
     @Property(tries = 200, seed = "11")
-    void thePurseBoundsExtraSends(@ForAll("signs") List<Seen> signs) {
-        var purse = new Purse(1);
+    void retryBudgetBoundsExtraSends(@ForAll("signs") List<Observation> signs) {
+        var budget = new RetryBudget(1);
         long now = 0;
         double first = 0;
         double extra = 0;
         for (var each : signs) {
             now += each.gap() / 100;
-            purse.firstSend(now);
+            budget.depositFirstSend(now);
             first++;
             for (int i = 0; i < 3 && each.sign() != Sign.SERVED; i++) {
-                if (i == 0 && purse.affordsCopy(each.weight(), now)) {
-                    purse.copy(each.weight(), now);
+                if (i == 0 && budget.canHedge(each.weight(), now)) {
+                    budget.chargeHedge(each.weight(), now);
                     extra++;
-                } else if (purse.affordsRepeat(now)) {
-                    purse.repeat(now);
+                } else if (budget.canRetry(now)) {
+                    budget.chargeRetry(now);
                     extra++;
                 }
             }
--- a/decisions/src/test/java/ryemast/pacing/ListCallsTest.java
+++ b/decisions/src/test/java/ryemast/pacing/DiscoveryCallScheduleTest.java
@@ -9,51 +9,51 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class ListCallsTest {
+class DiscoveryCallScheduleTest {
 
     private static final long SECOND = 1_000_000;
 
-    private static ListCalls calls(int self, int dispatchers) {
-        return new ListCalls(self, dispatchers, 10 * SECOND, false, new SplittableRandom(self));
+    private static DiscoveryCallSchedule calls(int self, int dispatchers) {
+        return new DiscoveryCallSchedule(self, dispatchers, 10 * SECOND, false, new SplittableRandom(self));
     }
 
-    /** Whoever has just started serves from a list that may be old: waiting for a turn must be short. */
+    /** A dispatcher that has just started uses a list that may be old: its first call must come soon. */
     @Test
-    void aFewAskAtOnceAndManyFortyASecond() {
-        assertEquals(1, calls(0, 1).first(0));
-        assertTrue(calls(1, 2).first(0) < SECOND / 10);
+    void aFewCallAtOnceAndManyAtFortyASecond() {
+        assertEquals(1, calls(0, 1).firstDelay(0));
+        assertTrue(calls(1, 2).firstDelay(0) < SECOND / 10);
         var perSecond = new int[10];
         for (int self = 0; self < 300; self++) {
-            perSecond[(int) (calls(self, 300).first(0) / SECOND)]++;
+            perSecond[(int) (calls(self, 300).firstDelay(0) / SECOND)]++;
         }
         assertEquals(40, Arrays.stream(perSecond).max().orElseThrow(), 2);
-        assertTrue(calls(9_999, 10_000).first(0) <= 10 * SECOND + 1);
+        assertTrue(calls(9_999, 10_000).firstDelay(0) <= 10 * SECOND + 1);
     }
 
     @Test
-    void thoseWhoFailTogetherDoNotComeBackTogether() {
+    void callersThatFailTogetherDoNotRetryTogether() {
         var waits = new HashSet<Long>();
         for (int self = 0; self < 100; self++) {
             waits.add(calls(self, 100).failed(0) / 50_000);
         }
-        assertTrue(waits.size() > 25, "only " + waits.size() + " of 50 parts of the pause");
+        assertTrue(waits.size() > 25, "only " + waits.size() + " of 50 parts of the backoff");
     }
 
     @Test
-    void theWaitDoublesWithEachFailureInARowUpToAQuarterOfTheTime() {
+    void theBackoffDoublesUpToAQuarterOfTheRefreshInterval() {
         var alone = calls(0, 1);
         long longest = 0;
         for (int i = 0; i < 12; i++) {
             longest = Math.max(longest, alone.failed(0));
         }
-        assertTrue(longest > 2 * SECOND && longest <= ListCalls.LONGEST_WAIT, longest + " us");
-        alone.heard();
+        assertTrue(longest > 2 * SECOND && longest <= DiscoveryCallSchedule.MAX_WAIT, longest + " us");
+        alone.succeeded();
         assertTrue(alone.failed(0) <= 210_000);
     }
 
-    /** Without waves 300 that ask of four a second get 13 answers, ever; the capacity is 160 in 40 s. */
+    /** Without windows 300 callers get 13 answers in all at 4 calls a second; the capacity is 160 in 40 s. */
     @Test
-    void whoeverWaitsInVainLeavesDiscoveryNoTimeToWaste() {
+    void congestedDiscoveryStaysNearItsCapacity() {
         assertEquals(14, answered(14, 250, 0, 10));
         for (int dispatchers : new int[] {50, 100, 300}) {
             int most = Math.min(dispatchers, 160);
@@ -64,15 +64,15 @@
         assertEquals(300, answered(300, 25, 0, 10));
     }
 
-    /** How many get an answer of a discovery that works in turn and drops calls after 3 s, half done too. */
+    /** Callers answered by a discovery that serves one by one and drops calls after 3 s, even half done. */
     private static int answered(int dispatchers, int callMs, int downSeconds, int seconds) {
-        var calls = new ListCalls[dispatchers];
+        var calls = new DiscoveryCallSchedule[dispatchers];
         var askAt = new long[dispatchers];
         for (int i = 0; i < dispatchers; i++) {
             calls[i] = calls(i, dispatchers);
-            askAt[i] = calls[i].first(0);
+            askAt[i] = calls[i].firstDelay(0);
         }
-        var line = new ArrayDeque<Integer>();
+        var queue = new ArrayDeque<Integer>();
         int answered = 0;
         int worked = 0;
         for (long now = 0; now < seconds * SECOND; now += 1_000) {
@@ -80,17 +80,17 @@
                 if (askAt[i] <= now && now < downSeconds * SECOND) {
                     askAt[i] = now + calls[i].failed(now);
                 } else if (askAt[i] <= now && askAt[i] > now - 1_000) {
-                    line.add(i);
+                    queue.add(i);
                 }
             }
-            worked = line.isEmpty() ? 0 : worked + 1;
+            worked = queue.isEmpty() ? 0 : worked + 1;
             if (worked >= callMs) {
-                askAt[line.poll()] = Long.MAX_VALUE;
+                askAt[queue.poll()] = Long.MAX_VALUE;
                 answered++;
                 worked = 0;
             }
-            while (!line.isEmpty() && now - askAt[line.peek()] >= 3 * SECOND) {
-                int late = line.poll();
+            while (!queue.isEmpty() && now - askAt[queue.peek()] >= 3 * SECOND) {
+                int late = queue.poll();
                 askAt[late] = now + calls[late].failed(now);
                 worked = 0;
             }
@@ -99,55 +99,57 @@
     }
 
     /**
-     * What discovery has counts as told 6 s after it could be reached, whatever the settings give for asking.
+     * Dispatchers count as notified 6 s after discovery could be reached, whatever the refresh interval.
      */
     @Test
     void noWaitOfAFewIsSoLongThatAChangeIsMissed() {
-        for (long askEvery = SECOND / 5; askEvery <= 600 * SECOND; askEvery *= 3) {
+        for (long refreshInterval = SECOND / 5; refreshInterval <= 600 * SECOND; refreshInterval *= 3) {
             for (int dispatchers = 1; dispatchers <= 10; dispatchers++) {
-                var calls = new ListCalls(0, dispatchers, askEvery, false, new SplittableRandom(dispatchers));
-                long now = calls.first(0);
+                var calls = new DiscoveryCallSchedule(0, dispatchers, refreshInterval, false,
+                        new SplittableRandom(dispatchers));
+                long now = calls.firstDelay(0);
                 for (int i = 0; i < 40; i++) {
                     now += i % 3 == 0 ? 1_000 : 3 * SECOND;
-                    now += bounded(calls.failed(now), ListCalls.LONGEST_WAIT, askEvery);
+                    now += bounded(calls.failed(now), DiscoveryCallSchedule.MAX_WAIT, refreshInterval);
                 }
             }
         }
     }
 
-    /** Whoever can't reach discovery is in nobody's way. */
+    /** Dispatchers that can't reach discovery do not congest it. */
     @Test
-    void noWaitOfManyWhoCannotReachDiscoveryIsSoLongThatAChangeIsMissed() {
-        for (long askEvery = SECOND / 5; askEvery <= 600 * SECOND; askEvery *= 3) {
+    void noWaitWithUnreachableDiscoveryIsSoLongThatAChangeIsMissed() {
+        for (long refreshInterval = SECOND / 5; refreshInterval <= 600 * SECOND; refreshInterval *= 3) {
             for (int dispatchers = 1; dispatchers <= 300; dispatchers += 23) {
-                var calls = new ListCalls(0, dispatchers, askEvery, false, new SplittableRandom(dispatchers));
-                long now = calls.first(0);
+                var calls = new DiscoveryCallSchedule(0, dispatchers, refreshInterval, false,
+                        new SplittableRandom(dispatchers));
+                long now = calls.firstDelay(0);
                 for (int i = 0; i < 40; i++) {
                     now += i % 3 == 0 ? 1_000 : 3 * SECOND;
-                    boolean inLine = i % 5 == 0;
-                    long wait = inLine ? calls.failed(now) : calls.unreachable(now);
-                    now += inLine ? wait : bounded(wait, ListCalls.LONGEST_WAIT, askEvery);
+                    boolean queued = i % 5 == 0;
+                    long wait = queued ? calls.failed(now) : calls.unreachable(now);
+                    now += queued ? wait : bounded(wait, DiscoveryCallSchedule.MAX_WAIT, refreshInterval);
                 }
             }
         }
     }
 
-    private static long bounded(long wait, long most, long askEvery) {
-        assertTrue(wait > 0 && wait <= most, wait + " us of " + askEvery);
+    private static long bounded(long wait, long most, long refreshInterval) {
+        assertTrue(wait > 0 && wait <= most, wait + " us of " + refreshInterval);
         return wait;
     }
 
     /**
-     * A call that is turned away while others wait in line must not fill it up again: ten a window of 2.5 s,
-     * drawn evenly, are eight a second, and half as many more by chance.
+     * A call that is rejected while others are queued must not fill the queue up again: ten for each window
+     * of 2.5 s, drawn evenly, are eight a second by their mean wait, and by chance at most half as many more.
      */
     @Test
-    void manyWhoWaitedInVainAskEightTimesASecond() {
+    void manyQueuedFailuresLeadToEightCallsASecond() {
         for (int dispatchers : new int[] {20, 100, 300}) {
             double waited = 0;
             for (int self = 0; self < dispatchers; self++) {
                 var calls = calls(self, dispatchers);
-                long now = calls.first(0);
+                long now = calls.firstDelay(0);
                 for (int i = 0; i < 4; i++) {
                     now += 2 * SECOND;
                     now += calls.failed(now);
@@ -160,13 +162,13 @@
     }
 
     /**
-     * A call that was refused after three seconds in line is part of the time in which a change is missed.
+     * The time of a call that was rejected after three seconds in the queue counts towards the bound.
      */
     @Test
-    void aFewThatAskACrowdedDiscoveryAskAgainWithinFiveSecondsOfTheLastCall() {
+    void aFewCallCongestedDiscoveryAtMostFiveSecondsApart() {
         for (int dispatchers = 1; dispatchers <= 10; dispatchers++) {
             var calls = calls(0, dispatchers);
-            long asked = calls.first(0);
+            long asked = calls.firstDelay(0);
             for (int i = 0; i < 12; i++) {
                 long failed = asked + 3 * SECOND;
                 long next = failed + calls.failed(failed);
@@ -176,36 +178,36 @@
         }
     }
 
-    /** What discovery had written counts as told, and nothing may be sent by the old list 0.5 s later. */
+    /** Dispatchers count as notified of what discovery wrote, and must not use the old list 0.5 s later. */
     @Test
-    void afterABreakDiscoveryIsAskedWithinTheGraceTwiceAndThenAsAfterAnyFailure() {
+    void brokenConnectionsAreRetriedFastTwiceAndThenAsOtherFailures() {
         for (int dispatchers : new int[] {1, 5, 100, 300}) {
             var calls = calls(dispatchers - 1, dispatchers);
             for (int i = 0; i < 2; i++) {
-                assertTrue(calls.broke(0) <= Math.min(3 * SECOND / 10, 3_000L * dispatchers) + 1);
+                assertTrue(calls.connectionBroken(0) <= Math.min(3 * SECOND / 10, 3_000L * dispatchers) + 1);
             }
-            assertTrue(calls.broke(0) > SECOND / 10);
-            calls.heard();
-            assertTrue(calls.broke(0) <= 3 * SECOND / 10 + 1);
+            assertTrue(calls.connectionBroken(0) > SECOND / 10);
+            calls.succeeded();
+            assertTrue(calls.connectionBroken(0) <= 3 * SECOND / 10 + 1);
         }
     }
 
-    /** They were in line, so that nothing had been written to them. */
+    /** These calls were queued, so that nothing had been written to them. */
     @Test
-    void callsThatAreResetAfterWaitingInLineAreNotMadeAgainAtOnce() {
+    void callsThatAreResetInTheQueueAreNotRetriedAtOnce() {
         int soon = 0;
         for (int self = 0; self < 100; self++) {
             var calls = calls(self, 100);
-            soon += calls.broke(calls.first(0) + 2 * SECOND) <= 3 * SECOND / 10 ? 1 : 0;
+            soon += calls.connectionBroken(calls.firstDelay(0) + 2 * SECOND) <= 3 * SECOND / 10 ? 1 : 0;
         }
         assertTrue(soon <= 20, soon + " of 100");
     }
 
-    /** Guards the half second after a drain is told: an agent of one's own is asked again at once, always. */
+    /** Guards the half second after a drain: a dispatcher's own agent is always called again at once. */
     @Test
-    void whereListsArePushedNoPauseGrowsOrDependsOnOthers() {
+    void withPushedListsTheRetryDelayIsConstant() {
         for (int dispatchers = 1; dispatchers <= 300; dispatchers += 13) {
-            var calls = new ListCalls(0, dispatchers, 10 * SECOND, true, new SplittableRandom(1));
+            var calls = new DiscoveryCallSchedule(0, dispatchers, 10 * SECOND, true, new SplittableRandom(1));
             for (int i = 0; i < 12; i++) {
                 assertTrue(calls.failed(0) <= SECOND / 10);
             }
--- a/lab/src/main/java/ryemast/lab/choices/ExtraFigures.java
+++ b/lab/src/main/java/ryemast/lab/choices/ExtraFigures.java
@@ -11,7 +11,7 @@
 import pipitladder.Brain;
 import pipitladder.Dispatcher;
 import ryemast.config.Tuning;
-import ryemast.health.Standing;
+import ryemast.health.TrafficState;
 import ryemast.lab.books.MemoryBooks;
 import ryemast.lab.load.Table;
 import ryemast.lab.model.ModelSite;
@@ -75,19 +75,19 @@
                 into.from = Math.min(into.from, now);
                 into.until = Math.max(into.until, now);
             }
-            double before = brain.health().purse().spent();
+            double before = brain.health().retryBudget().spent();
             brain.handle(now, event, action -> {
                 if (action instanceof Send send) {
                     note(send, now);
                 }
                 actions.accept(action);
             });
-            into.paid.merge(now / SECOND, brain.health().purse().spent() - before, Double::sum);
+            into.paid.merge(now / SECOND, brain.health().retryBudget().spent() - before, Double::sum);
         }
 
         private void note(Send send, long now) {
             boolean others = out.merge(send.request(), 1, Integer::sum) > 1;
-            if (brain.health().box(send.worker()).standing() == Standing.TRIAL) {
+            if (brain.health().worker(send.worker()).trafficState() == TrafficState.EJECTED) {
                 into.trials.computeIfAbsent(send.worker(), box -> new HashMap<>())
                         .merge(now / SECOND, 1, Integer::sum);
             } else if (others) {
--- a/lab/src/main/java/ryemast/lab/health/Figures.java
+++ b/lab/src/main/java/ryemast/lab/health/Figures.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 import ryemast.health.Belief;
-import ryemast.health.Standing;
+import ryemast.health.TrafficState;
 import ryemast.lab.books.Attempt;
 import ryemast.lab.books.History;
 import ryemast.lab.books.JobStory;
@@ -118,7 +118,8 @@
 
     /** What is believed, with its cause; a box that gets full traffic is taken to be well. */
     private static String word(Belief belief) {
-        if (belief == null || belief.state() == Belief.State.WELL && belief.standing() == Standing.FULL) {
+        if (belief == null || belief.state() == Belief.State.WELL
+                && belief.trafficState() == TrafficState.FULL) {
             return Truth.WELL;
         }
         return switch (belief.state()) {
--- a/lab/src/main/java/ryemast/lab/health/Notes.java
+++ b/lab/src/main/java/ryemast/lab/health/Notes.java
@@ -75,7 +75,7 @@
             if (now >= lookAt && module instanceof Brain brain) {
                 lookAt = now + EVERY;
                 var beliefs = new HashMap<Integer, Belief>();
-                brain.health().beliefs(now).forEach(each -> beliefs.put(numbers.get(each.box()), each));
+                brain.health().beliefs(now).forEach(each -> beliefs.put(numbers.get(each.worker()), each));
                 glances.add(new Glance(now, self, beliefs));
             }
         }
