--- a/decisions/src/main/java/ryemast/health/WorkerHealth.java
+++ b/decisions/src/main/java/ryemast/health/WorkerHealth.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import ryemast.membership.ProcessLife;
+import ryemast.membership.ProcessLifetime;
 
 /**
  * The evidence about the health of one worker, and the estimate that follows from it.
@@ -62,7 +62,7 @@
     /** Latest send time of the jobs that have started, and latest start time of those that have ended. */
     private long lastStartedSentAt = Long.MIN_VALUE;
     private long lastEndedStartedAt = Long.MIN_VALUE;
-    private final ProcessLife processLife = new ProcessLife();
+    private final ProcessLifetime processLife = new ProcessLifetime();
     private long lastActivityAt;
     private int rejections;
     private long lastRejectedAt = Long.MIN_VALUE;
@@ -136,7 +136,7 @@
     void recordStart(AttemptMonitor job, long now) {
         detector.accrual.started(job, now);
         recordActivity(now);
-        processLife.seen(job.sentAt, now);
+        processLife.recordAlive(job.sentAt, now);
         lastStartedSentAt = Math.max(lastStartedSentAt, job.sentAt);
         clearRejections();
     }
@@ -158,7 +158,7 @@
         if (sign == Sign.SERVED) {
             recordActivity(now);
             detector.accrual.served(job, now);
-            processLife.seen(job.sentAt, now);
+            processLife.recordAlive(job.sentAt, now);
             lastStartedSentAt = Math.max(lastStartedSentAt, job.sentAt);
             lastEndedStartedAt = Math.max(lastEndedStartedAt, job.runningSince());
             clearRejections();
@@ -224,7 +224,7 @@
 
     /** The worker's process was replaced at that time: earlier evidence does not apply to the new one. */
     public void processRestarted(long start) {
-        processLife.startedAt(start);
+        processLife.recordStart(start);
         flaky = PRIOR_FLAKY;
         down = PRIOR_DOWN;
         rejections = 0;
@@ -430,7 +430,7 @@
     }
 
     /** The time for which the worker is known to have been one process. */
-    public ProcessLife processLife() {
+    public ProcessLifetime processLife() {
         return processLife;
     }
 
--- a/decisions/src/main/java/ryemast/pacing/DiscoveryCallSchedule.java
+++ b/decisions/src/main/java/ryemast/pacing/DiscoveryCallSchedule.java
@@ -1,7 +1,7 @@
 package ryemast.pacing;
 
 import java.util.SplittableRandom;
-import ryemast.fleet.choices.Turns;
+import ryemast.fleet.choices.PermitOrder;
 
 /**
  * When a dispatcher requests the list of workers from discovery, which serves all dispatchers and handles
@@ -20,7 +20,7 @@
  * <p>With few dispatchers, or if discovery can't be reached at all, no wait is longer than {@link
  * #MAX_WAIT}, however often calls have failed and whatever the refresh interval is: dispatchers count as
  * notified of discovery's state 6 s after it could be reached again. With many dispatchers, retries can't
- * ensure that; jobs are then placed without an up-to-date list ({@link ryemast.membership.ListAge}).
+ * ensure that; jobs are then placed without an up-to-date list ({@link ryemast.membership.ListFreshness}).
  *
  * <p>A dispatcher counts as notified of all that discovery has written, even if it was lost with a broken
  * connection. So the first calls after a break follow almost at once, spread over no more than the remaining
@@ -115,7 +115,7 @@
     /** The delay before the first call, in microseconds, staggered by dispatcher. */
     public long firstDelay(long now) {
         double stagger = dispatchers == 1 ? 0 : Math.min(STAGGER, 1.0 / dispatchers);
-        return schedule(now, 1 + (long) Turns.begins(refreshInterval * stagger, self, random.nextDouble()));
+        return schedule(now, 1 + (long) PermitOrder.slotStart(refreshInterval * stagger, self, random.nextDouble()));
     }
 
     /** Records that a call or its stream has failed; returns the delay before the next, in microseconds. */
--- a/decisions/src/test/java/ryemast/health/FleetBudgetTest.java
+++ b/decisions/src/test/java/ryemast/health/FleetBudgetTest.java
@@ -42,7 +42,7 @@
             var shares = new int[members];
             for (int window = 0; window < probes.length; window++) {
                 var stats = Arrays.stream(probes[window]).summaryStatistics();
-                assertEquals(ProbePermits.BOUND.all(), stats.getSum(), members + " in " + window);
+                assertEquals(ProbePermits.BOUND.permits(), stats.getSum(), members + " in " + window);
                 assertTrue(stats.getMax() - stats.getMin() <= 1, members + " in " + window);
                 for (int self = 0; window + 1 >= members && window + 1 < 2 * members && self < members;
                         self++) {
@@ -50,7 +50,7 @@
                 }
             }
             for (int share : shares) {
-                assertEquals(ProbePermits.BOUND.all(), share, members + " members, a cycle");
+                assertEquals(ProbePermits.BOUND.permits(), share, members + " members, a cycle");
             }
         }
     }
@@ -94,9 +94,9 @@
     void probesOfASickWorkerStayWithinTheBoundOnlyWithPermits() {
         for (int members : SIZES) {
             int most = maxProbesInAWindow(members, self -> newDetector(self, members));
-            assertTrue(most > 0 && most <= ProbePermits.BOUND.all(), most + " by " + members);
+            assertTrue(most > 0 && most <= ProbePermits.BOUND.permits(), most + " by " + members);
         }
-        assertTrue(maxProbesInAWindow(14, self -> newDetector(0, 1)) > ProbePermits.BOUND.all());
+        assertTrue(maxProbesInAWindow(14, self -> newDetector(0, 1)) > ProbePermits.BOUND.permits());
     }
 
     private static OutlierDetector newDetector(int self, int members) {
