--- a/app/src/main/java/ryemast/Reserved.java
+++ b/app/src/main/java/ryemast/Reserved.java
@@ -19,13 +19,13 @@
 import ryemast.entries.Reservations;
 import ryemast.entries.Reservations.Wanted;
 import ryemast.fleet.FleetView;
-import ryemast.reservation.Book;
-import ryemast.reservation.Parts;
+import ryemast.reservation.ReservationLedger;
+import ryemast.reservation.MemberQuotas;
 import ryemast.reservation.Reservation;
-import ryemast.reservation.Reserving;
+import ryemast.reservation.ReservingDispatcher;
 import ryemast.reservation.Service;
 import ryemast.reservation.Span;
-import ryemast.reservation.Terms;
+import ryemast.reservation.LedgerSettings;
 import ryemast.reserving.BookKeeping;
 import ryemast.reserving.Place;
 import ryemast.reserving.Plan;
@@ -50,7 +50,7 @@
     private final Config config;
     private final Loop loop;
     private final long settle;
-    private final Parts parts;
+    private final MemberQuotas parts;
     private final Weighing front;
     private FleetPlace fleet;
     private BookKeeping keeping;
@@ -63,13 +63,13 @@
         inForce = read();
         var coordination = config.tuning().coordination();
         settle = Math.round(coordination.lasts() * (1 + coordination.drift()));
-        parts = new Parts(config.name(), terms(inForce));
-        front = new Weighing(new Reserving(inner, parts, config.settings().limits()));
+        parts = new MemberQuotas(config.name(), terms(inForce));
+        front = new Weighing(new ReservingDispatcher(inner, parts, config.settings().limits()));
     }
 
-    private Terms terms(Reservations from) {
+    private LedgerSettings terms(Reservations from) {
         var figures = from.figures();
-        return new Terms(settle, figures.margin(), figures.band(), figures.hold(), figures.burst(),
+        return new LedgerSettings(settle, figures.margin(), figures.band(), figures.hold(), figures.burst(),
                 figures.lend());
     }
 
@@ -90,7 +90,7 @@
     void join(Coordination records, FleetPlace place) {
         fleet = place;
         var coordination = config.tuning().coordination();
-        keeping = new BookKeeping(loop, records, new InFleet(), new Book(terms(inForce)), parts,
+        keeping = new BookKeeping(loop, records, new InFleet(), new ReservationLedger(terms(inForce)), parts,
                 new BookKeeping.Site(coordination.lasts() / 3, settle, config.orgs(), config.lanes()),
                 WallClock.ofSystem()::now, front::weight);
     }
@@ -99,7 +99,7 @@
     void begin() {
         keeping.begin(plan(inForce));
         fleet.onLists(keeping::members);
-        fleet.want(() -> parts.wants(loop.now()));
+        fleet.want(() -> parts.reportDemand(loop.now()));
     }
 
     private Reservations read() throws ConfigException {
--- a/app/src/main/java/ryemast/Timetabling.java
+++ b/app/src/main/java/ryemast/Timetabling.java
@@ -59,8 +59,8 @@
         var wall = WallClock.ofSystem();
         fleet.tell(wall::now);
         var usual = Limits.DEFAULT;
-        var limits = new Limits(usual.keep(), usual.mostKept(), usual.mostOpen(), Config.MOST_FIRES,
-                usual.failures(), usual.forget());
+        var limits = new Limits(usual.retention(), usual.maxRetained(), usual.maxOpen(), Config.MOST_FIRES,
+                usual.maxFailures(), usual.orphanRetention());
         BiFunction<String, FleetView, String> owner = owners;
         firing = new Firing(loop, exchange, workers, records, new Place(), wall::now, owner,
                 limits);
--- a/app/src/main/java/ryemast/entries/Reservations.java
+++ b/app/src/main/java/ryemast/entries/Reservations.java
@@ -21,7 +21,7 @@
         wanted = List.copyOf(wanted);
     }
 
-    /** As {@link ryemast.reservation.Terms} has them; times in microseconds. */
+    /** As {@link ryemast.reservation.LedgerSettings} has them; times in microseconds. */
     public record Figures(double margin, double band, long hold, long burst, long lend) {
     }
 
--- a/decisions/src/main/java/ryemast/reservation/Grant.java
+++ b/decisions/src/main/java/ryemast/reservation/Grant.java
@@ -1,15 +1,16 @@
 package ryemast.reservation;
 
 /**
- * A reservation in the book.
+ * A granted reservation.
  *
- * @param age    the page at which it was granted or last grew: of one rank, the largest yields first
- * @param given  the work a second that members share out now: 0 outside its windows, and less than promised
- *               while the site clears too little, or while room that others have given up settles
+ * @param grantVersion  version of the state in which it was granted or last grew: of equal rank, the largest
+ *                      yields first
+ * @param allocated     the work per second that members share now: 0 outside its windows, and less than
+ *                      reserved while the site's capacity is too small, or while released capacity settles
  */
-public record Grant(Reservation reservation, long age, long given) {
+public record Grant(Reservation reservation, long grantVersion, long allocated) {
 
-    Grant given(long now) {
-        return new Grant(reservation, age, now);
+    Grant allocated(long amount) {
+        return new Grant(reservation, grantVersion, amount);
     }
 }
--- a/decisions/src/main/java/ryemast/reservation/Offer.java
+++ b/decisions/src/main/java/ryemast/reservation/Offer.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * What would fit in place of a reservation that does not.
+ * What would fit in place of a reservation that doesn't.
  *
- * @param perSecond  as much in all of its windows; 0: nothing
- * @param windows    those of its own windows in which all of it fits
- * @param tightest   a time at which least is left, within its windows
- * @param holders    who holds room then, the largest first
- * @param promises   what the site promises at most: what it clears less the margin
+ * @param perSecond   the amount that fits in all of its windows; 0: nothing
+ * @param windows     those of its windows in which the full amount fits
+ * @param tightest    a time within its windows at which least is left
+ * @param holders     the services that hold reservations then, the largest first
+ * @param reservable  what the site can reserve at most: its capacity less the margin
  */
-public record Offer(long perSecond, List<Span> windows, long tightest, List<String> holders, long promises) {
+public record Offer(long perSecond, List<Span> windows, long tightest, List<String> holders,
+        long reservable) {
 }
--- a/decisions/src/main/java/ryemast/reservation/ReservationException.java
+++ b/decisions/src/main/java/ryemast/reservation/ReservationException.java
@@ -1,6 +1,9 @@
 package ryemast.reservation;
 
-/** A reservation that can't be granted: says which, what is wrong, what happens now and what to do. */
+/**
+ * A reservation that can't be granted. The message has the service, the cause, the consequence and the
+ * remedy.
+ */
 public class ReservationException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -12,7 +15,7 @@
         this.service = service;
     }
 
-    /** The name of the service that asked. */
+    /** The name of the requesting service. */
     public String service() {
         return service;
     }
--- a/decisions/src/main/java/ryemast/reservation/Service.java
+++ b/decisions/src/main/java/ryemast/reservation/Service.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * Whose jobs a reservation is for: those of one tenant, of some classes. A request is of one service at most,
- * as no two services of a book may {@link #overlaps overlap}.
+ * The jobs a reservation is for: those of one tenant, of some classes. A request belongs to one service at
+ * most, as no two services of a ledger may {@link #overlaps overlap}.
  *
  * @param classes  numbers of the settings' classes; empty: all of the tenant's
  */
@@ -13,7 +13,7 @@
 
     public Service {
         if (name == null || name.isBlank() || tenant < 0) {
-            throw new FaultyReservationException(name, "a service wants a name and a tenant's number");
+            throw new InvalidReservationException(name, "a service needs a name and a tenant number");
         }
         classes = classes == null ? Set.of() : Set.copyOf(classes);
     }
@@ -22,7 +22,7 @@
         return tenant == otherTenant && (classes.isEmpty() || classes.contains(jobClass));
     }
 
-    /** Whether a job could be of both. */
+    /** Whether a job could belong to both. */
     public boolean overlaps(Service other) {
         return tenant == other.tenant && (classes.isEmpty() || other.classes.isEmpty()
                 || !Collections.disjoint(classes, other.classes));
--- a/decisions/src/main/java/ryemast/reservation/ServicesOverlapException.java
+++ b/decisions/src/main/java/ryemast/reservation/ServicesOverlapException.java
@@ -1,6 +1,6 @@
 package ryemast.reservation;
 
-/** Two services would share jobs, so that none could say whose reservation such a job takes from. */
+/** Two services would share jobs, so that their reservation would be ambiguous. */
 public final class ServicesOverlapException extends ReservationException {
 
     private static final long serialVersionUID = 1L;
@@ -8,18 +8,18 @@
     private final String other;
 
     ServicesOverlapException(Service asking, Service other) {
-        super(asking.name(), "tenant " + asking.tenant() + " with classes " + all(asking)
-                + " shares jobs with service '" + other.name() + "', classes " + all(other),
-                "It is refused, and what was granted before stands",
-                "Give each class of the tenant to one service");
+        super(asking.name(), "tenant " + asking.tenant() + " with classes " + classList(asking)
+                + " shares jobs with service '" + other.name() + "', classes " + classList(other),
+                "The request is rejected, and earlier grants stay in force",
+                "Assign each class of the tenant to one service only");
         this.other = other.name();
     }
 
-    private static String all(Service service) {
+    private static String classList(Service service) {
         return service.classes().isEmpty() ? "all" : service.classes().stream().sorted().toList().toString();
     }
 
-    /** The service that has these jobs already. */
+    /** The existing service that covers these jobs. */
     public String other() {
         return other;
     }
--- a/decisions/src/main/java/ryemast/reservation/Span.java
+++ b/decisions/src/main/java/ryemast/reservation/Span.java
@@ -1,22 +1,23 @@
 package ryemast.reservation;
 
-/** A time by the wall clock, Unix microseconds; {@code until} is no part of it. */
+/** A half-open interval of wall time, Unix microseconds; {@code until} is excluded. */
 public record Span(long from, long until) {
 
-    /** All of the time. */
+    /** Unlimited. */
     public static final Span ALWAYS = new Span(Long.MIN_VALUE, Long.MAX_VALUE);
 
     public Span {
         if (from >= until) {
-            throw new FaultyReservationException(null, "a window from " + from + " until " + until);
+            throw new InvalidReservationException(null,
+                    "a window must end after it begins; it is from " + from + " until " + until);
         }
     }
 
-    boolean holds(long wall) {
+    boolean contains(long wall) {
         return from <= wall && wall < until;
     }
 
-    boolean meets(Span other) {
+    boolean overlaps(Span other) {
         return from < other.until && other.from < until;
     }
 }
--- a/decisions/src/main/java/ryemast/reservation/package-info.java
+++ b/decisions/src/main/java/ryemast/reservation/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Reservations that hold: what of the site's work a second is promised to whom, each member's part of it, and
- * what a request may take. No I/O, no clock, no chance. docs/reservations.md has options, states and bounds.
+ * Capacity reservations: which service has how much of the site's work per second, each member's quota of it,
+ * and what a request may use. No I/O, no clock, no randomness. docs/reservations.md lists options, states and
+ * bounds.
  */
 package ryemast.reservation;
--- a/decisions/src/test/java/pipitladder/ReservingTest.java
+++ b/decisions/src/test/java/pipitladder/ReservingTest.java
@@ -23,14 +23,14 @@
 import pipitladder.Dispatcher.Request;
 import pipitladder.Dispatcher.Send;
 import ryemast.reservation.Grant;
-import ryemast.reservation.Listed;
-import ryemast.reservation.Page;
-import ryemast.reservation.Parts;
+import ryemast.reservation.ListedMember;
+import ryemast.reservation.LedgerState;
+import ryemast.reservation.MemberQuotas;
 import ryemast.reservation.Reservation;
-import ryemast.reservation.Reserving;
+import ryemast.reservation.ReservingDispatcher;
 import ryemast.reservation.Service;
-import ryemast.reservation.Tally;
-import ryemast.reservation.Terms;
+import ryemast.reservation.AdmissionCounts;
+import ryemast.reservation.LedgerSettings;
 
 /** The dispatcher round another one: nothing changes but who is refused. */
 class ReservingTest {
@@ -40,8 +40,8 @@
 
     private final List<Action> inner = new ArrayList<>();
     private final List<Event> passed = new ArrayList<>();
-    private final Parts parts = new Parts("a", Terms.settlingIn(3 * S));
-    private final Reserving reserving = new Reserving((now, event, out) -> {
+    private final MemberQuotas parts = new MemberQuotas("a", LedgerSettings.withSettleTime(3 * S));
+    private final ReservingDispatcher reserving = new ReservingDispatcher((now, event, out) -> {
         if (event instanceof Request request && request.jobClass() > 9) {
             throw new IllegalArgumentException("unknown class");
         }
@@ -49,7 +49,7 @@
         inner.forEach(out);
         inner.clear();
     }, parts, LIMITS);
-    private Page page;
+    private LedgerState page;
     private long now;
 
     private List<Action> tell(Event event) {
@@ -70,14 +70,14 @@
             var service = new Service("service-" + tenant, tenant, Set.of(0));
             grants.add(new Grant(new Reservation(service, S, List.of(), 0, tenant == 0), 1, S));
         }
-        page = new Page(1, 4 * S, S, grants, List.of(), Terms.settlingIn(3 * S));
+        page = new LedgerState(1, 4 * S, S, grants, List.of(), LedgerSettings.withSettleTime(3 * S));
         live(15 * S);
     }
 
     private void live(long until) {
         for (; now <= until; now += S) {
-            parts.members(now, now, List.of(new Listed("a", Map.of())));
-            parts.page(now, now, page);
+            parts.updateMembers(now, now, List.of(new ListedMember("a", Map.of())));
+            parts.updateLedger(now, now, page);
         }
     }
 
@@ -90,7 +90,7 @@
                 FleetInTime.jobClass(Effect.UNSAFE)));
         var seen = new ArrayList<Event>();
         var twin = new Brain(settings, seed);
-        var wrapped = new Reserving((at, event, out) -> {
+        var wrapped = new ReservingDispatcher((at, event, out) -> {
             seen.add(event);
             twin.handle(at, event, out);
         }, parts, LIMITS);
@@ -102,8 +102,9 @@
             alone.handle(at, event, actions::add);
             var same = new ArrayList<Action>();
             if (at % 3 == 0) {
-                parts.page(at, at, Page.EMPTY);
-                parts.members(at, at, List.of(new Listed("a", Map.of()), new Listed("b", null)));
+                parts.updateLedger(at, at, LedgerState.EMPTY);
+                parts.updateMembers(at, at, List.of(new ListedMember("a", Map.of()),
+                        new ListedMember("b", null)));
             }
             wrapped.handle(at, event, same::add);
             assertEquals(actions, same);
@@ -116,7 +117,7 @@
         fleet.pass(40 * S);
         assertEquals(told, seen);
         assertTrue(told.size() > 2000 && fleet.served > 300 && fleet.refused + fleet.failed > 0, "" + seed);
-        assertTrue(wrapped.tallies().isEmpty());
+        assertTrue(wrapped.admissionCounts().isEmpty());
     }
 
     @Test
@@ -133,8 +134,8 @@
         request(8, 2, 2);
         assertEquals(5, passed.size(), "lent, by each of both");
         assertEquals(List.of(new Refuse(9, 2 * S)), request(9, 2, 2));
-        assertEquals(new Tally(0, 0, 2, 2, 4 * S), reserving.tallies().get(""));
-        assertEquals(new Tally(1, 1, 0, 1, 8 * S), reserving.tallies().get("service-1"));
+        assertEquals(new AdmissionCounts(0, 0, 2, 2, 4 * S), reserving.admissionCounts().get(""));
+        assertEquals(new AdmissionCounts(1, 1, 0, 1, 8 * S), reserving.admissionCounts().get("service-1"));
         live(20 * S);
         request(10, 0, 4);
         assertEquals(6, passed.size());
@@ -146,15 +147,15 @@
         request(1, 0, 1, new Send(1, "v", 0), new Send(1, "w", 0));
         request(2, 0, 1, new Refuse(2, 0));
         request(3, 0, 1);
-        assertEquals(2 * S, reserving.tallies().get("service-0").workOut());
+        assertEquals(2 * S, reserving.admissionCounts().get("service-0").workOut());
         inner.add(new Fail(3));
         tell(new AttemptEnded(1, 0, "v", Outcome.SUCCESS, true, null));
-        assertEquals(S, reserving.tallies().get("service-0").workOut());
+        assertEquals(S, reserving.admissionCounts().get("service-0").workOut());
         tell(new AttemptEnded(1, 1, "w", Outcome.CANCELLED, true, null));
-        assertEquals(0, reserving.tallies().get("service-0").workOut());
+        assertEquals(0, reserving.admissionCounts().get("service-0").workOut());
         request(4, 0, 1);
         tell(new ClientGone(4));
-        assertEquals(0, reserving.tallies().get("service-0").workOut());
+        assertEquals(0, reserving.admissionCounts().get("service-0").workOut());
         request(5, 0, 1);
         int before = passed.size();
         tell(new ClientGone(5));
--- a/firing/src/main/java/ryemast/firing/Firing.java
+++ b/firing/src/main/java/ryemast/firing/Firing.java
@@ -23,15 +23,15 @@
 import ryemast.core.Terminal;
 import ryemast.core.Transaction;
 import ryemast.fleet.FleetView;
-import ryemast.timetable.Content.How;
-import ryemast.timetable.Deed;
-import ryemast.timetable.Fate;
-import ryemast.timetable.Fires;
+import ryemast.timetable.RecordContent.How;
+import ryemast.timetable.ScheduleAction;
+import ryemast.timetable.CommitResult;
+import ryemast.timetable.Scheduler;
 import ryemast.timetable.Limits;
-import ryemast.timetable.Seen;
+import ryemast.timetable.VersionedRecord;
 
 /**
- * A timetable's front: carries out what {@link Fires} decides, and hands jobs to the exchange as any
+ * A timetable's front: carries out what {@link Scheduler} decides, and hands jobs to the exchange as any
  * client's. Stands between the exchange and the workers' side as well, and guarantees there that no attempt
  * of a fire's job is started unless the lease is good by the clock at that very moment, and the fence is the
  * one that the job was handed in under: a process that was stopped while a job waited inside, and wakes up
@@ -63,7 +63,7 @@
     private final Coordination records;
     private final FleetSource fleet;
     private final LongSupplier wall;
-    private final Fires fires;
+    private final Scheduler fires;
     /** By the name of the job. */
     private final Map<String, Hand> hands = new HashMap<>();
     /** Null until {@link #begin}. */
@@ -85,20 +85,20 @@
         this.records = CARELESS.isEmpty() ? records : new Careless(records, CARELESS);
         this.fleet = fleet;
         this.wall = wall;
-        fires = new Fires(limits, owners);
+        fires = new Scheduler(limits, owners);
     }
 
     /** To be called once, on the loop. */
     public void begin(Plan plan) {
         editions = new Editions(loop, records, new InFleet(), WHAT, edition(plan), this::settleSoon);
-        fires.entries(plan.entries());
+        fires.setJobs(plan.entries());
         fleet.listen(this::settleSoon);
         settleSoon();
     }
 
     /** Another timetable from now on; what is claimed ends as it was claimed. On the loop. */
     public void replace(Plan plan) {
-        fires.entries(plan.entries());
+        fires.setJobs(plan.entries());
         editions.replace(edition(plan));
         settleSoon();
     }
@@ -163,33 +163,33 @@
         var view = view();
         var fence = fleet.fence();
         var able = CARELESS.equals("revision") ? view.members() : editions.able(view.members());
-        fires.fleet(view, able, editions.version(), fence == null ? 0 : fence.version());
-        fires.clocks(fleet.clocks());
-        fires.settle(loop.now(), wall.getAsLong()).forEach(this::perform);
+        fires.updateFleet(view, able, editions.version(), fence == null ? 0 : fence.version());
+        fires.updateClocks(fleet.clocks());
+        fires.evaluate(loop.now(), wall.getAsLong()).forEach(this::perform);
         timer = loop.at(Math.min(fires.nextDue(), loop.now() + LOOK), this::settleSoon);
     }
 
-    private void perform(Deed deed) {
-        if (deed instanceof Deed.Commit commit) {
+    private void perform(ScheduleAction deed) {
+        if (deed instanceof ScheduleAction.Commit commit) {
             commit(commit);
-        } else if (deed instanceof Deed.Look look) {
+        } else if (deed instanceof ScheduleAction.ReadRecords look) {
             look(look);
-        } else if (deed instanceof Deed.Submit submit) {
+        } else if (deed instanceof ScheduleAction.Submit submit) {
             submit(submit);
-        } else if (deed instanceof Deed.Withdraw withdraw) {
+        } else if (deed instanceof ScheduleAction.Withdraw withdraw) {
             withdraw(withdraw);
-        } else if (deed instanceof Deed.Log log) {
+        } else if (deed instanceof ScheduleAction.Log log) {
             Note.log(LOG, log.warning() ? Level.WARNING : Level.INFO, null,
-                    "timetable: {entry} {nominal}: {what}", "entry", log.entry(), "nominal",
-                    log.entry().isEmpty() ? "" : Keys.nominal(log.nominal()), "what", log.text());
+                    "timetable: {entry} {nominal}: {what}", "entry", log.jobName(), "nominal",
+                    log.jobName().isEmpty() ? "" : Keys.nominal(log.scheduledTime()), "what", log.text());
         }
     }
 
-    private void commit(Deed.Commit deed) {
+    private void commit(ScheduleAction.Commit deed) {
         var step = new Step();
         var fence = fleet.fence();
         if (fence == null) {
-            fires.committed(deed.id(), Fate.NOT_DONE, List.of(), loop.now());
+            fires.onCommitted(deed.id(), CommitResult.NOT_DONE, List.of(), loop.now());
             settleSoon();
             return;
         }
@@ -199,7 +199,7 @@
         }
         int before = step.changes().size();
         for (var write : deed.writes()) {
-            var key = Keys.key(write.entry(), write.nominal());
+            var key = Keys.key(write.jobName(), write.scheduledTime());
             if (write.content() == null) {
                 step.remove(key, write.version());
             } else {
@@ -209,15 +209,15 @@
         records.commit(step, result -> {
             var versions = result.fate() == Coordination.Fate.DONE
                     ? result.versions().subList(before, result.versions().size()) : List.<Long>of();
-            fires.committed(deed.id(), Fate.valueOf(result.fate().name()), versions, loop.now());
+            fires.onCommitted(deed.id(), CommitResult.valueOf(result.fate().name()), versions, loop.now());
             settleSoon();
         });
     }
 
     /** Reads fires before fences: a fence that is newer than a fire's holder's is so for good. */
-    private void look(Deed.Look deed) {
-        var prefixes = deed.entries().isEmpty() ? List.of(Keys.FIRES)
-                : deed.entries().stream().map(each -> Keys.FIRES + each + "/").toList();
+    private void look(ScheduleAction.ReadRecords deed) {
+        var prefixes = deed.jobNames().isEmpty() ? List.of(Keys.FIRES)
+                : deed.jobNames().stream().map(each -> Keys.FIRES + each + "/").toList();
         var found = new ArrayList<Reading>();
         for (var prefix : prefixes) {
             records.list(prefix, true, reading -> {
@@ -229,7 +229,7 @@
         }
     }
 
-    private void looked(Deed.Look deed, List<Reading> found, Reading fences) {
+    private void looked(ScheduleAction.ReadRecords deed, List<Reading> found, Reading fences) {
         if (!fences.good() || !found.stream().allMatch(Reading::good)) {
             looked(deed, null, Map.of());
             return;
@@ -238,7 +238,7 @@
         fences.entries().forEach(each -> versions.put(each.key().substring(Keys.FENCES.length()),
                 each.version()));
         var ours = found.stream().flatMap(each -> each.entries().stream())
-                .filter(each -> fires.matters(Keys.entry(each.key()))).toList();
+                .filter(each -> fires.isRelevant(Keys.entry(each.key()))).toList();
         if (ours.size() <= MOST_AT_ONCE) {
             looked(deed, Keys.seen(ours), versions);
             return;
@@ -251,8 +251,9 @@
         thread.start();
     }
 
-    private void looked(Deed.Look deed, Map<String, List<Seen>> seen, Map<String, Long> fences) {
-        fires.looked(deed.id(), seen, fences, loop.now());
+    private void looked(ScheduleAction.ReadRecords deed, Map<String, List<VersionedRecord>> seen,
+            Map<String, Long> fences) {
+        fires.onRead(deed.id(), seen, fences, loop.now());
         settleSoon();
     }
 
@@ -272,17 +273,17 @@
         return "fire-" + entry + "-" + Keys.nominal(nominal) + "-" + turn;
     }
 
-    private void submit(Deed.Submit deed) {
+    private void submit(ScheduleAction.Submit deed) {
         // Only planned ones are ever told to the fires.
-        var planned = (Planned) deed.entry();
-        var hand = new Hand(planned, deed.nominal(), deed.turn());
+        var planned = (Planned) deed.job();
+        var hand = new Hand(planned, deed.scheduledTime(), deed.attempt());
         if (!mayAct()) {
-            fires.withheld(planned.name(), deed.nominal(), deed.turn());
+            fires.onWithheld(planned.name(), deed.scheduledTime(), deed.attempt());
             settleSoon();
             return;
         }
-        var name = name(planned.name(), deed.nominal(), deed.turn());
-        var job = exchange.isFree(name) ? planned.job(name, deed.nominal(), loop.now()) : null;
+        var name = name(planned.name(), deed.scheduledTime(), deed.attempt());
+        var job = exchange.isFree(name) ? planned.job(name, deed.scheduledTime(), loop.now()) : null;
         if (job == null) {
             hand.refused(0);
             return;
@@ -294,8 +295,8 @@
     }
 
     /** What must run once and may be running runs on; all else need not. */
-    private void withdraw(Deed.Withdraw deed) {
-        var hand = hands.get(name(deed.entry(), deed.nominal(), deed.turn()));
+    private void withdraw(ScheduleAction.Withdraw deed) {
+        var hand = hands.get(name(deed.jobName(), deed.scheduledTime(), deed.attempt()));
         if (hand != null && hand.transaction != null && !(hand.attempted && hand.planned.runsOnce())) {
             hands.remove(hand.name);
             exchange.left(hand.transaction);
@@ -366,7 +367,7 @@
 
         private void told(How how, long retryAfter) {
             hands.remove(name);
-            fires.told(planned.name(), nominal, turn, how, retryAfter);
+            fires.onOutcome(planned.name(), nominal, turn, how, retryAfter);
             settleSoon();
         }
     }
--- a/firing/src/main/java/ryemast/firing/Keys.java
+++ b/firing/src/main/java/ryemast/firing/Keys.java
@@ -17,12 +17,12 @@
 import java.util.logging.Logger;
 import ryemast.coordination.Coordination;
 import ryemast.core.Note;
-import ryemast.timetable.Content;
-import ryemast.timetable.Content.How;
-import ryemast.timetable.Content.Life;
-import ryemast.timetable.Content.Mark;
-import ryemast.timetable.Content.State;
-import ryemast.timetable.Seen;
+import ryemast.timetable.RecordContent;
+import ryemast.timetable.RecordContent.How;
+import ryemast.timetable.RecordContent.ExecutionRecord;
+import ryemast.timetable.RecordContent.Watermark;
+import ryemast.timetable.RecordContent.State;
+import ryemast.timetable.VersionedRecord;
 
 /** The form of a timetable's records: {@code fires/ENTRY/NOMINAL} and {@code fires/ENTRY/mark}, JSON each. */
 final class Keys {
@@ -43,7 +43,7 @@
     }
 
     static String key(String entry, long nominal) {
-        return FIRES + entry + "/" + (nominal == Seen.MARK ? MARK : nominal(nominal));
+        return FIRES + entry + "/" + (nominal == VersionedRecord.WATERMARK ? MARK : nominal(nominal));
     }
 
     static boolean isMark(String key) {
@@ -56,25 +56,25 @@
         return end < 0 ? "" : key.substring(FIRES.length(), end);
     }
 
-    static byte[] bytes(Content content) {
+    static byte[] bytes(RecordContent content) {
         var json = new JsonObject();
-        if (content instanceof Mark mark) {
-            json.addProperty("nominal", nominal(mark.nominal()));
+        if (content instanceof Watermark mark) {
+            json.addProperty("nominal", nominal(mark.scheduledTime()));
             json.addProperty("missed", mark.missed());
             json.addProperty("skipped", mark.skipped());
-        } else if (content instanceof Life life) {
+        } else if (content instanceof ExecutionRecord life) {
             json.addProperty("state", word(life.state()));
             json.addProperty("holder", life.holder());
             json.addProperty("fence", life.fence());
-            json.addProperty("turn", life.turn());
-            json.addProperty("once", life.once());
-            json.addProperty("at_us", life.at());
-            json.addProperty("until_us", life.until());
-            if (life.how() != How.NONE) {
-                json.addProperty("how", word(life.how()));
+            json.addProperty("turn", life.attempt());
+            json.addProperty("once", life.runsOnce());
+            json.addProperty("at_us", life.recordedAt());
+            json.addProperty("until_us", life.startDeadline());
+            if (life.outcome() != How.NONE) {
+                json.addProperty("how", word(life.outcome()));
             }
-            if (!life.why().isEmpty()) {
-                json.addProperty("why", life.why());
+            if (!life.reason().isEmpty()) {
+                json.addProperty("why", life.reason());
             }
         }
         return json.toString().getBytes(StandardCharsets.UTF_8);
@@ -85,31 +85,33 @@
     }
 
     /** By entry; without those that can't be read. */
-    static Map<String, List<Seen>> seen(List<Coordination.Entry> found) {
-        var by = new HashMap<String, List<Seen>>();
+    static Map<String, List<VersionedRecord>> seen(List<Coordination.Entry> found) {
+        var by = new HashMap<String, List<VersionedRecord>>();
         for (var each : found) {
             var seen = seen(each);
             if (seen != null) {
-                by.computeIfAbsent(seen.entry(), key -> new ArrayList<>(2)).add(seen);
+                by.computeIfAbsent(seen.jobName(), key -> new ArrayList<>(2)).add(seen);
             }
         }
         return by;
     }
 
     /** A record that can't be read is told in the log, and left alone; null if it is none of ours at all. */
-    static Seen seen(Coordination.Entry found) {
+    static VersionedRecord seen(Coordination.Entry found) {
         var entry = entry(found.key());
         var last = found.key().substring(found.key().lastIndexOf('/') + 1);
         boolean isMark = last.equals(MARK);
         try {
-            long nominal = isMark ? Seen.MARK : micros(last);
-            return new Seen(entry, nominal, isMark ? mark(json(found)) : life(json(found)), found.version());
+            long nominal = isMark ? VersionedRecord.WATERMARK : micros(last);
+            return new VersionedRecord(entry, nominal, isMark ? mark(json(found)) : life(json(found)),
+                    found.version());
         } catch (DateTimeException | JsonParseException | IllegalArgumentException | IllegalStateException
                 | NullPointerException e) {
             Note.warning(LOG, "timetable: the record {key} can't be read, and is left alone: {why}; "
                     + "where it is a mark, its entry does not fire until it is mended or removed",
                     "key", found.key(), "why", e.toString());
-            return isMark ? new Seen(entry, Seen.MARK, null, found.version()) : null;
+            return isMark ? new VersionedRecord(entry, VersionedRecord.WATERMARK, null, found.version())
+                    : null;
         }
     }
 
@@ -121,13 +123,13 @@
         return JsonParser.parseString(new String(found.value(), StandardCharsets.UTF_8)).getAsJsonObject();
     }
 
-    private static Mark mark(JsonObject json) {
-        return new Mark(micros(json.get("nominal").getAsString()), json.get("missed").getAsLong(),
+    private static Watermark mark(JsonObject json) {
+        return new Watermark(micros(json.get("nominal").getAsString()), json.get("missed").getAsLong(),
                 json.get("skipped").getAsLong());
     }
 
-    private static Life life(JsonObject json) {
-        return new Life(State.valueOf(json.get("state").getAsString().toUpperCase(Locale.ROOT)),
+    private static ExecutionRecord life(JsonObject json) {
+        return new ExecutionRecord(State.valueOf(json.get("state").getAsString().toUpperCase(Locale.ROOT)),
                 json.get("holder").getAsString(), json.get("fence").getAsLong(), json.get("turn").getAsInt(),
                 json.get("once").getAsBoolean(), json.get("at_us").getAsLong(),
                 json.get("until_us").getAsLong(),
--- a/firing/src/main/java/ryemast/firing/Planned.java
+++ b/firing/src/main/java/ryemast/firing/Planned.java
@@ -1,10 +1,10 @@
 package ryemast.firing;
 
 import ryemast.core.Submission;
-import ryemast.timetable.Entry;
+import ryemast.timetable.ScheduledJob;
 
 /** An entry with the job that its fires hand in. */
-public interface Planned extends Entry {
+public interface Planned extends ScheduledJob {
 
     /**
      * The job of one fire. Null: it can't be had now (as a file that can't be read); the fire is then treated
--- a/firing/src/test/java/ryemast/firing/Books.java
+++ b/firing/src/test/java/ryemast/firing/Books.java
@@ -8,11 +8,11 @@
 import java.util.TreeMap;
 import ryemast.coordination.Coordination;
 import ryemast.coordination.Step;
-import ryemast.timetable.Content.How;
-import ryemast.timetable.Content.Life;
-import ryemast.timetable.Content.Mark;
-import ryemast.timetable.Content.State;
-import ryemast.timetable.Entry;
+import ryemast.timetable.RecordContent.How;
+import ryemast.timetable.RecordContent.ExecutionRecord;
+import ryemast.timetable.RecordContent.Watermark;
+import ryemast.timetable.RecordContent.State;
+import ryemast.timetable.ScheduledJob;
 
 /** Judges by the records and by what reached the worker, not by what any replica believes. */
 final class Books {
@@ -22,7 +22,7 @@
         final String entry;
         final long nominal;
         final long madeAt;
-        Life life;
+        ExecutionRecord life;
         long changedAt;
         long sentAt;
         int ends;
@@ -38,7 +38,7 @@
     private final World world;
     final List<String> breaches = new ArrayList<>();
     final Map<String, Fire> fires = new TreeMap<>();
-    final Map<String, Mark> marks = new HashMap<>();
+    final Map<String, Watermark> marks = new HashMap<>();
     final Map<String, Integer> ends = new TreeMap<>();
     /** From the kill of a holder to another's claim, milliseconds. */
     final List<Long> takeovers = new ArrayList<>();
@@ -61,10 +61,10 @@
                 removed(change.key());
             } else if (change.kind() == Step.Kind.PUT) {
                 var seen = Keys.seen(new Coordination.Entry(change.key(), change.value(), 1));
-                if (seen.content() instanceof Mark mark) {
+                if (seen.content() instanceof Watermark mark) {
                     marked(entry, mark, step, by);
                 } else {
-                    changed(change.key(), entry, seen.nominal(), (Life) seen.content(), by);
+                    changed(change.key(), entry, seen.scheduledTime(), (ExecutionRecord) seen.content(), by);
                 }
             }
         }
@@ -77,9 +77,9 @@
         }
     }
 
-    private void changed(String key, String entry, long nominal, Life life, Process by) {
+    private void changed(String key, String entry, long nominal, ExecutionRecord life, Process by) {
         var fire = fires.get(key);
-        boolean claimed = life.state() == State.CLAIMED && life.turn() == 0;
+        boolean claimed = life.state() == State.CLAIMED && life.attempt() == 0;
         if (fire == null) {
             fire = new Fire(entry, nominal, world.now);
             fires.put(key, fire);
@@ -106,7 +106,7 @@
             ended(key, fire, life);
             world.dropMark(entry);
         }
-        long killed = fire.life == null || life.turn() - fire.life.turn() < 50_000 ? 0
+        long killed = fire.life == null || life.attempt() - fire.life.attempt() < 50_000 ? 0
                 : world.killedAt(fire.life.holder());
         if (killed > fire.changedAt) {
             takeovers.add((world.now - killed) / 1_000);
@@ -115,31 +115,32 @@
         fire.changedAt = world.now;
     }
 
-    private void ended(String key, Fire fire, Life life) {
-        ends.merge(life.state() == State.UNKNOWN ? "UNKNOWN" : life.how().name(), 1, Integer::sum);
+    private void ended(String key, Fire fire, ExecutionRecord life) {
+        ends.merge(life.state() == State.UNKNOWN ? "UNKNOWN" : life.outcome().name(), 1, Integer::sum);
         boolean hasRun = fire.ran > 0;
-        if (life.how() == How.SERVED && !hasRun || life.how() == How.LATE && hasRun
-                || life.how() == How.REFUSED && hasRun) {
-            breach(key + " ended as " + life.how() + " and ran " + fire.ran + " times");
+        if (life.outcome() == How.SERVED && !hasRun || life.outcome() == How.LATE && hasRun
+                || life.outcome() == How.REFUSED && hasRun) {
+            breach(key + " ended as " + life.outcome() + " and ran " + fire.ran + " times");
         }
-        if (life.state() == State.UNKNOWN && life.once()
+        if (life.state() == State.UNKNOWN && life.runsOnce()
                 && !world.struck(fire.life.holder(), fire.sentAt - 10_000_000, world.now)) {
             breach(key + " is unknown for no reason");
         }
     }
 
     /** Every nominal time is claimed, or counted as missed or skipped. */
-    private void marked(String entry, Mark mark, Step step, Process by) {
+    private void marked(String entry, Watermark mark, Step step, Process by) {
         var before = marks.put(entry, mark);
-        var key = Keys.key(entry, mark.nominal());
+        var key = Keys.key(entry, mark.scheduledTime());
         if (before == null) {
             return;
         }
         // One that is not overruled may be that far off from a right one, which may be off by half itself.
-        if (by.clocksAgree() && mark.nominal() > World.WALL + world.now + World.BOUND * 3 / 2 + 2_000_000) {
+        if (by.clocksAgree() && mark.scheduledTime() > World.WALL + world.now + World.BOUND * 3 / 2
+                + 2_000_000) {
             breach(entry + "'s mark went ahead of what most clocks say");
         }
-        if (mark.nominal() <= before.nominal()) {
+        if (mark.scheduledTime() <= before.scheduledTime()) {
             breach(entry + "'s mark went back");
             return;
         }
@@ -148,15 +149,16 @@
         long passed = mark.missed() - before.missed() + mark.skipped() - before.skipped();
         long count = 0;
         var planned = world.entry(entry);
-        for (long at = planned.next(before.nominal()); at <= mark.nominal(); at = planned.next(at)) {
+        for (long at = planned.next(before.scheduledTime()); at <= mark.scheduledTime(); at =
+                planned.next(at)) {
             count++;
         }
         if (count != passed + (claims ? 1 : 0)) {
             breach(entry + ": " + count + " fires, " + passed + " of them passed over, claimed: " + claims);
         }
-        if (world.quiet() && world.current(entry).overlap() == Entry.Overlap.ALLOW
+        if (world.quiet() && world.current(entry).overlap() == ScheduledJob.Overlap.ALLOW
                 && mark.missed() > before.missed()
-                && planned.moment(before.nominal()) > world.settledWall()) {
+                && planned.moment(before.scheduledTime()) > world.settledWall()) {
             breach(entry + " missed " + (mark.missed() - before.missed()) + " though nothing was wrong");
         }
     }
@@ -173,15 +175,15 @@
             breach(txn + " was sent before any record");
             return;
         }
-        if (fire.life.once()) {
+        if (fire.life.runsOnce()) {
             var recorded = new String(world.kv.get(key) == null ? new byte[0] : world.kv.get(key).value(),
                     StandardCharsets.UTF_8);
-            if (fire.life.state() != State.SENT || fire.life.turn() != Integer.parseInt(parts[3])) {
+            if (fire.life.state() != State.SENT || fire.life.attempt() != Integer.parseInt(parts[3])) {
                 breach(txn + " was sent though the record says " + recorded);
             }
         }
         fire.ran += runs ? 1 : 0;
-        if (fire.life.once() && fire.ran > 1) {
+        if (fire.life.runsOnce() && fire.ran > 1) {
             breach(txn + " ran twice");
         }
     }
--- a/firing/src/test/java/ryemast/firing/FiringModelTest.java
+++ b/firing/src/test/java/ryemast/firing/FiringModelTest.java
@@ -36,7 +36,7 @@
         worlds.forEach(each -> each.getValue().ends.forEach(
                 (how, count) -> ends.merge(how, count, Integer::sum)));
         long takeovers = worlds.stream().flatMap(each -> each.getValue().fires.values().stream())
-                .filter(each -> each.life.turn() >= 100_000).count();
+                .filter(each -> each.life.attempt() >= 100_000).count();
         var times = worlds.stream().flatMap(each -> each.getValue().takeovers.stream()).sorted().toList();
         System.out.println(SEEDS + " seeds: ends " + ends + ", taken over " + takeovers
                 + ", after a kill p50 " + times.get(times.size() / 2) + " ms, p99 "
--- a/firing/src/test/java/ryemast/firing/KeysTest.java
+++ b/firing/src/test/java/ryemast/firing/KeysTest.java
@@ -9,32 +9,33 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import ryemast.coordination.Coordination;
-import ryemast.timetable.Content;
-import ryemast.timetable.Content.How;
-import ryemast.timetable.Content.Life;
-import ryemast.timetable.Content.Mark;
-import ryemast.timetable.Content.State;
-import ryemast.timetable.Entry;
-import ryemast.timetable.Seen;
+import ryemast.timetable.RecordContent;
+import ryemast.timetable.RecordContent.How;
+import ryemast.timetable.RecordContent.ExecutionRecord;
+import ryemast.timetable.RecordContent.Watermark;
+import ryemast.timetable.RecordContent.State;
+import ryemast.timetable.ScheduledJob;
+import ryemast.timetable.VersionedRecord;
 
 class KeysTest {
 
     private static final long NOMINAL = 1_796_083_200_000_000L;
 
-    private static Seen read(String key, byte[] value) {
+    private static VersionedRecord read(String key, byte[] value) {
         return Keys.seen(new Coordination.Entry(key, value, 7));
     }
 
     @Test
     void whatIsWrittenIsReadAgainAndSmall() {
-        var life = new Life(State.ENDED, "r1", 12, 100_000, true, NOMINAL + 1, NOMINAL + 2, How.FAILED,
-                "it \"failed\"");
-        var claim = new Life(State.CLAIMED, "dispatcher-1", 123_456, 0, false, NOMINAL, NOMINAL, How.NONE,
-                "");
-        for (Content content : List.of(life, claim, new Mark(NOMINAL, 3, 4))) {
-            long nominal = content instanceof Mark ? Seen.MARK : NOMINAL;
+        var life = new ExecutionRecord(State.ENDED, "r1", 12, 100_000, true, NOMINAL + 1, NOMINAL + 2,
+                How.FAILED, "it \"failed\"");
+        var claim = new ExecutionRecord(State.CLAIMED, "dispatcher-1", 123_456, 0, false, NOMINAL, NOMINAL,
+                How.NONE, "");
+        for (RecordContent content : List.of(life, claim, new Watermark(NOMINAL, 3, 4))) {
+            long nominal = content instanceof Watermark ? VersionedRecord.WATERMARK : NOMINAL;
             var key = Keys.key("weekly.pack", nominal);
-            assertEquals(new Seen("weekly.pack", nominal, content, 7), read(key, Keys.bytes(content)));
+            assertEquals(new VersionedRecord("weekly.pack", nominal, content, 7),
+                    read(key, Keys.bytes(content)));
             assertTrue(Keys.bytes(content).length <= 180, Keys.bytes(content).length + " bytes");
         }
         assertEquals("fires/weekly.pack/20261201T000000Z", Keys.key("weekly.pack", NOMINAL));
@@ -45,11 +46,13 @@
         var bad = "{}".getBytes(StandardCharsets.UTF_8);
         assertNull(read("fires/e/20261201T000000Z", bad));
         assertNull(read("fires/e/tomorrow", bad));
-        assertEquals(new Seen("e", Seen.MARK, null, 7), read("fires/e/mark", new byte[] {1}));
+        assertEquals(new VersionedRecord("e", VersionedRecord.WATERMARK, null, 7),
+                read("fires/e/mark", new byte[] {1}));
     }
 
     private static Planned entry(String name) {
-        return new ModelEntry(name, true, 1, Entry.Missed.SKIP, 1, Entry.Overlap.ALLOW, 1, 0, null, null);
+        return new ModelEntry(name, true, 1, ScheduledJob.Missed.SKIP, 1, ScheduledJob.Overlap.ALLOW, 1, 0,
+                null, null);
     }
 
     @Test
--- a/firing/src/test/java/ryemast/firing/World.java
+++ b/firing/src/test/java/ryemast/firing/World.java
@@ -12,8 +12,8 @@
 import ryemast.coordination.Step;
 import ryemast.fleet.FleetView;
 import ryemast.firing.Process.Replica;
-import ryemast.timetable.Content.Mark;
-import ryemast.timetable.Entry;
+import ryemast.timetable.RecordContent.Watermark;
+import ryemast.timetable.ScheduledJob;
 import ryemast.timetable.Limits;
 
 /** A fleet, its records and its faults in a played time, all drawn from one seed. */
@@ -55,7 +55,7 @@
     private final List<Replica> replicas = new ArrayList<>();
     private final List<Fault> faults = new ArrayList<>();
     private final Map<Long, Map<String, ModelEntry>> timetables = new TreeMap<>();
-    private Map<String, Mark> marksAtQuiet = Map.of();
+    private Map<String, Watermark> marksAtQuiet = Map.of();
     private long lastEvent;
     private boolean replaced;
     private boolean hourly;
@@ -121,8 +121,8 @@
 
     private ModelEntry draw(String name, long period, long phase) {
         return new ModelEntry(name, random.nextBoolean(), (2 + random.nextInt(30)) * SECOND,
-                Entry.Missed.values()[random.nextInt(3)], 1 + random.nextInt(3),
-                Entry.Overlap.values()[random.nextInt(3)], period, phase, null, this);
+                ScheduledJob.Missed.values()[random.nextInt(3)], 1 + random.nextInt(3),
+                ScheduledJob.Overlap.values()[random.nextInt(3)], period, phase, null, this);
     }
 
     private Plan plan(long revision, Replica replica) {
@@ -287,10 +287,10 @@
             if (mark == null) {
                 found.add(entry.name() + " has no mark");
             }
-            if (mark == null || entry.overlap() != Entry.Overlap.ALLOW) {
+            if (mark == null || entry.overlap() != ScheduledJob.Overlap.ALLOW) {
                 continue;
             }
-            long from = Math.max(settledWall(), mark.nominal());
+            long from = Math.max(settledWall(), mark.scheduledTime());
             for (long at = entry.next(from); at < WALL + now - 5 * SECOND; at = entry.next(at)) {
                 var key = Keys.key(entry.name(), at);
                 var fire = books.fires.get(key);
--- a/reserving/src/main/java/ryemast/reserving/BookKeeping.java
+++ b/reserving/src/main/java/ryemast/reserving/BookKeeping.java
@@ -18,12 +18,12 @@
 import ryemast.fleet.FleetView;
 import ryemast.fleet.MemberRecord;
 import ryemast.fleet.Owners;
-import ryemast.reservation.Book;
+import ryemast.reservation.ReservationLedger;
 import ryemast.reservation.Grant;
-import ryemast.reservation.Listed;
-import ryemast.reservation.OtherTermsException;
-import ryemast.reservation.Page;
-import ryemast.reservation.Parts;
+import ryemast.reservation.ListedMember;
+import ryemast.reservation.SettleTimeMismatchException;
+import ryemast.reservation.LedgerState;
+import ryemast.reservation.MemberQuotas;
 import ryemast.reservation.Reservation;
 import ryemast.reservation.ReservationException;
 
@@ -62,8 +62,8 @@
     private final Loop loop;
     private final Coordination records;
     private final Place place;
-    private final Parts parts;
-    private final Book book;
+    private final MemberQuotas parts;
+    private final ReservationLedger book;
     private final PageText text;
     private final LongSupplier wall;
     private final DoubleSupplier weight;
@@ -75,9 +75,9 @@
     private Editions editions;
     private Runnable timer = () -> { };
     /** What was read last, for a trial that must fail. */
-    private List<Listed> lastMembers = List.of();
-    private Page lastPage;
-    private Page told = Page.EMPTY;
+    private List<ListedMember> lastMembers = List.of();
+    private LedgerState lastPage;
+    private LedgerState told = LedgerState.EMPTY;
     private long mostCleared;
     private long readAt;
     private long faultyVersion;
@@ -100,8 +100,8 @@
      * @param wall    the wall clock, Unix time in microseconds
      * @param weight  of all workers that are ready, 0 where none is known
      */
-    public BookKeeping(Loop loop, Coordination records, Place place, Book book, Parts parts, Site site,
-            LongSupplier wall, DoubleSupplier weight) {
+    public BookKeeping(Loop loop, Coordination records, Place place, ReservationLedger book,
+            MemberQuotas parts, Site site, LongSupplier wall, DoubleSupplier weight) {
         this.loop = loop;
         this.records = records;
         this.place = place;
@@ -117,11 +117,12 @@
     /** To be called once, on the loop. */
     public void begin(Plan first) {
         plan = first;
-        book.terms(plan.terms());
+        book.settings(plan.terms());
         readAt = loop.now();
         // Too old to be acted by: it says whose jobs have a reservation until the book can be read.
         long now = loop.now();
-        parts.page(now - settle - 1, now, new Page(0, 0, ANYTHING, plan.at().apply(wall.getAsLong()).stream()
+        parts.updateLedger(now - settle - 1, now, new LedgerState(0, 0, ANYTHING,
+                plan.at().apply(wall.getAsLong()).stream()
                 .map(each -> new Grant(each, 0, 0)).toList(), List.of(), plan.terms()));
         editions = new Editions(loop, records, place, WHAT, plan.edition(), () -> { });
         look();
@@ -130,7 +131,7 @@
     /** Another file from now on. On the loop. */
     public void replace(Plan by) {
         plan = by;
-        book.terms(by.terms());
+        book.settings(by.terms());
         refused.clear();
         editions.replace(by.edition());
     }
@@ -145,15 +146,15 @@
 
     /** The members as they were listed, no older than when that was asked for. */
     public void members(long askedAt, List<MemberRecord> listed) {
-        var members = new ArrayList<Listed>();
+        var members = new ArrayList<ListedMember>();
         for (var each : listed) {
             boolean own = each.name().equals(place.self()) && each.incarnation() == place.incarnation();
             // Another incarnation of a name is another member: two processes may have borne it in turn.
-            members.add(new Listed(own ? each.name() : each.name() + "#" + each.incarnation(),
+            members.add(new ListedMember(own ? each.name() : each.name() + "#" + each.incarnation(),
                     CARELESS.equals("greedy") && !own ? Map.of() : each.wants()));
         }
-        lastMembers = CARELESS.equals("alone") ? List.of(new Listed(place.self(), Map.of())) : members;
-        parts.members(askedAt, loop.now(), lastMembers);
+        lastMembers = CARELESS.equals("alone") ? List.of(new ListedMember(place.self(), Map.of())) : members;
+        parts.updateMembers(askedAt, loop.now(), lastMembers);
     }
 
     private void look() {
@@ -166,7 +167,7 @@
         if (CARELESS.equals("stale")) {
             stale();
         } else if (place.fence() == null) {
-            parts.outside(loop.now());
+            parts.leaseLost(loop.now());
         }
         long askedAt = loop.now();
         records.read(BOOK, true, reading -> {
@@ -179,8 +180,8 @@
     private void stale() {
         long now = loop.now();
         if (lastPage != null && !lastMembers.isEmpty()) {
-            parts.members(now, now, lastMembers);
-            parts.page(now, now, lastPage);
+            parts.updateMembers(now, now, lastMembers);
+            parts.updateLedger(now, now, lastPage);
         }
     }
 
@@ -203,10 +204,10 @@
         }
         readAt = now;
         long version = reading.only() == null ? Coordination.ABSENT : reading.only().version();
-        book.read(page, CARELESS.equals("hasty") ? now - settle - 1 : now);
+        book.load(page, CARELESS.equals("hasty") ? now - settle - 1 : now);
         if (version != Coordination.ABSENT) {
             lastPage = page;
-            parts.page(askedAt, now, page);
+            parts.updateLedger(askedAt, now, page);
             tell(page);
             tellTerms(page);
         }
@@ -216,9 +217,9 @@
     }
 
     /** Null: the record is no page, which is told once. */
-    private Page page(Coordination.Entry entry) {
+    private LedgerState page(Coordination.Entry entry) {
         if (entry == null) {
-            return Page.EMPTY;
+            return LedgerState.EMPTY;
         }
         try {
             return text.read(entry.value());
@@ -245,28 +246,28 @@
         return view.self().equals(Owners.ownerOf(BOOK, able));
     }
 
-    private void keep(Page stands, long version, long now) {
+    private void keep(LedgerState stands, long version, long now) {
         long clears = Math.round(weight.getAsDouble() * plan.perWeight());
         mostCleared = CARELESS.equals("deaf") ? Math.max(mostCleared, clears) : clears;
         if (clears > 0) {
             // None known is no news of a site that has none: this process may have just begun.
-            book.told(mostCleared, now);
+            book.updateCapacity(mostCleared, now);
         }
         var wanted = plan.at().apply(wall.getAsLong());
         var names = new HashSet<String>();
         wanted.forEach(each -> names.add(each.service().name()));
         for (var each : stands.grants()) {
             if (!names.contains(each.reservation().service().name())) {
-                book.drop(each.reservation().service().name());
+                book.cancel(each.reservation().service().name());
             }
         }
         wanted.forEach(this::ask);
         book.step(now, wall.getAsLong() - (CARELESS.equals("behind") ? BEHIND : 0));
         var fence = place.fence();
-        if (book.page().equals(stands) || fence == null) {
+        if (book.state().equals(stands) || fence == null) {
             return;
         }
-        var value = text.write(book.page());
+        var value = text.write(book.state());
         if (value.length > Coordination.LONGEST_VALUE) {
             Note.warning(LOG, "reservations: the book is not written, as it takes {bytes} bytes, and a record"
                     + " holds {most}; reserve with fewer windows or for fewer services", "bytes",
@@ -287,7 +288,7 @@
     private void ask(Reservation wanted) {
         var name = wanted.service().name();
         try {
-            book.ask(CARELESS.equals("upside") ? new Reservation(wanted.service(), wanted.perSecond(),
+            book.reserve(CARELESS.equals("upside") ? new Reservation(wanted.service(), wanted.perSecond(),
                     wanted.windows(), UPSIDE - wanted.rank(), wanted.capped()) : wanted);
             if (refused.remove(name)) {
                 Note.info(LOG, "reservations: {service} fits now and is granted", "service", name);
@@ -299,23 +300,23 @@
         }
     }
 
-    private void tellTerms(Page page) {
+    private void tellTerms(LedgerState page) {
         try {
-            plan.terms().requireSettlingOf(page);
+            plan.terms().requireSameSettleTime(page);
             if (otherSettle != 0) {
                 otherSettle = 0;
                 Note.info(LOG, "reservations: the book settles in the same time as this replica now");
             }
-        } catch (OtherTermsException e) {
-            if (e.site() != otherSettle) {
-                otherSettle = e.site();
+        } catch (SettleTimeMismatchException e) {
+            if (e.ledgerSettleTime() != otherSettle) {
+                otherSettle = e.ledgerSettleTime();
                 Note.warning(LOG, "reservations: {why}", "why", e.getMessage());
             }
         }
     }
 
     /** What has changed since the page before, a line for each service. */
-    private void tell(Page page) {
+    private void tell(LedgerState page) {
         var before = new HashMap<String, Grant>();
         told.grants().forEach(each -> before.put(each.reservation().service().name(), each));
         Map<String, Grant> after = new HashMap<>();
@@ -323,10 +324,10 @@
             var name = each.reservation().service().name();
             after.put(name, each);
             var was = before.get(name);
-            if (was == null || was.given() != each.given()) {
+            if (was == null || was.allocated() != each.allocated()) {
                 Note.info(LOG, "reservations: {service} is given {given} of {reserved} s a second; the site"
-                        + " clears {clears}", "service", name, "given", each.given() / MICROS, "reserved",
-                        each.reservation().perSecond() / MICROS, "clears", page.clears() / MICROS);
+                        + " clears {clears}", "service", name, "given", each.allocated() / MICROS, "reserved",
+                        each.reservation().perSecond() / MICROS, "clears", page.capacity() / MICROS);
             }
         }
         before.keySet().stream().filter(each -> !after.containsKey(each)).forEach(each ->
--- a/reserving/src/main/java/ryemast/reserving/PageText.java
+++ b/reserving/src/main/java/ryemast/reserving/PageText.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.stream.Stream;
 import java.util.stream.StreamSupport;
-import ryemast.reservation.Freed;
+import ryemast.reservation.ReleasedCapacity;
 import ryemast.reservation.Grant;
-import ryemast.reservation.Page;
+import ryemast.reservation.LedgerState;
 import ryemast.reservation.Reservation;
 import ryemast.reservation.Service;
 import ryemast.reservation.Span;
-import ryemast.reservation.Terms;
+import ryemast.reservation.LedgerSettings;
 
 /**
  * A page of the book as JSON, with tenants and classes by their names: their numbers are an order of the
@@ -43,31 +43,31 @@
         this.classes = List.copyOf(classes);
     }
 
-    byte[] write(Page page) {
+    byte[] write(LedgerState page) {
         var all = new JsonObject();
-        all.addProperty("turn", page.turn());
-        all.addProperty("clears", page.clears());
+        all.addProperty("turn", page.version());
+        all.addProperty("clears", page.capacity());
         all.addProperty("free", page.free());
         var grants = new JsonArray();
         page.grants().forEach(each -> grants.add(write(each)));
         all.add("grants", grants);
         var freed = new JsonArray();
-        page.freed().forEach(each -> freed.add(pair(each.turn(), each.perSecond())));
+        page.released().forEach(each -> freed.add(pair(each.version(), each.perSecond())));
         all.add("freed", freed);
-        if (page.terms() != null) {
-            all.add("terms", write(page.terms()));
+        if (page.settings() != null) {
+            all.add("terms", write(page.settings()));
         }
         return all.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static JsonObject write(Terms terms) {
+    private static JsonObject write(LedgerSettings terms) {
         var one = new JsonObject();
-        one.addProperty("settle", terms.settle());
+        one.addProperty("settle", terms.settleTime());
         one.addProperty("margin", terms.margin());
         one.addProperty("band", terms.band());
-        one.addProperty("hold", terms.hold());
+        one.addProperty("hold", terms.increaseHold());
         one.addProperty("burst", terms.burst());
-        one.addProperty("lend", terms.lend());
+        one.addProperty("lend", terms.lendTime());
         return one;
     }
 
@@ -85,20 +85,20 @@
         one.add("windows", windows);
         one.addProperty("rank", wanted.rank());
         one.addProperty("capped", wanted.capped());
-        one.addProperty("age", grant.age());
-        one.addProperty("given", grant.given());
+        one.addProperty("age", grant.grantVersion());
+        one.addProperty("given", grant.allocated());
         return one;
     }
 
-    Page read(byte[] text) throws FaultyPageException {
+    LedgerState read(byte[] text) throws FaultyPageException {
         try {
             var all = JsonParser.parseString(new String(text, StandardCharsets.UTF_8)).getAsJsonObject();
             var grants = new ArrayList<Grant>();
             for (var each : all.getAsJsonArray("grants")) {
                 grants.add(grant(each.getAsJsonObject()));
             }
-            return new Page(number(all, "turn"), number(all, "clears"), number(all, "free"), grants,
-                    pairs(all, "freed").map(each -> new Freed(each[0], each[1])).toList(),
+            return new LedgerState(number(all, "turn"), number(all, "clears"), number(all, "free"), grants,
+                    pairs(all, "freed").map(each -> new ReleasedCapacity(each[0], each[1])).toList(),
                     all.has("terms") ? terms(all.getAsJsonObject("terms")) : null);
         } catch (JsonParseException | IllegalStateException | IllegalArgumentException
                 | NullPointerException | UnsupportedOperationException | IndexOutOfBoundsException e) {
@@ -106,8 +106,8 @@
         }
     }
 
-    private static Terms terms(JsonObject one) {
-        return new Terms(number(one, "settle"), one.get("margin").getAsDouble(),
+    private static LedgerSettings terms(JsonObject one) {
+        return new LedgerSettings(number(one, "settle"), one.get("margin").getAsDouble(),
                 one.get("band").getAsDouble(), number(one, "hold"), number(one, "burst"),
                 number(one, "lend"));
     }
--- a/reserving/src/main/java/ryemast/reserving/Plan.java
+++ b/reserving/src/main/java/ryemast/reserving/Plan.java
@@ -4,7 +4,7 @@
 import java.util.function.LongFunction;
 import ryemast.coordination.Editions;
 import ryemast.reservation.Reservation;
-import ryemast.reservation.Terms;
+import ryemast.reservation.LedgerSettings;
 
 /**
  * A reservations file as one replica has it.
@@ -14,6 +14,6 @@
  * @param perWeight  the work a second that a worker of weight 1 clears
  * @param at         what is asked for at a time by the wall clock; the same at every replica, all day long
  */
-public record Plan(Editions.Edition edition, Terms terms, long perWeight,
+public record Plan(Editions.Edition edition, LedgerSettings terms, long perWeight,
         LongFunction<List<Reservation>> at) {
 }
--- a/reserving/src/test/java/ryemast/reserving/BookKeepingTest.java
+++ b/reserving/src/test/java/ryemast/reserving/BookKeepingTest.java
@@ -23,28 +23,29 @@
 import ryemast.fleet.FleetView;
 import ryemast.fleet.LeaseTerms;
 import ryemast.fleet.MemberRecord;
-import ryemast.reservation.Book;
-import ryemast.reservation.Freed;
+import ryemast.reservation.ReservationLedger;
+import ryemast.reservation.ReleasedCapacity;
 import ryemast.reservation.Grant;
-import ryemast.reservation.Page;
-import ryemast.reservation.Parts;
+import ryemast.reservation.LedgerState;
+import ryemast.reservation.MemberQuotas;
 import ryemast.reservation.Reservation;
-import ryemast.reservation.Room;
+import ryemast.reservation.AdmissionDecision;
 import ryemast.reservation.Service;
 import ryemast.reservation.Span;
-import ryemast.reservation.Terms;
+import ryemast.reservation.LedgerSettings;
 
 /** One member on the embedded store, from an empty one to a book that is kept. */
 class BookKeepingTest {
 
     private static final LeaseTerms LEASE = new LeaseTerms(500_000, 0.01);
-    private static final Terms TERMS = new Terms(505_000, 0.1, 0.05, 0, 1_000_000, 1_000_000);
+    private static final LedgerSettings TERMS = new LedgerSettings(505_000, 0.1, 0.05, 0, 1_000_000,
+            1_000_000);
     private static final long PATIENCE_NS = 20_000_000_000L;
 
     @TempDir
     Path folder;
     private final Loop loop = new Loop(() -> System.nanoTime() / 1_000, 5_000);
-    private final Parts parts = new Parts("one", TERMS);
+    private final MemberQuotas parts = new MemberQuotas("one", TERMS);
     private FleetKeeper keeper;
     private BookKeeping keeping;
     private double weight = 10;
@@ -91,8 +92,8 @@
             public Fence fence() {
                 return keeper.held();
             }
-        }, new Book(TERMS), parts, new BookKeeping.Site(LEASE.beatEvery(), TERMS.settle(), List.of("a", "b"),
-                List.of("c")), () -> 0, () -> weight);
+        }, new ReservationLedger(TERMS), parts, new BookKeeping.Site(LEASE.beatEvery(), TERMS.settleTime(),
+                List.of("a", "b"), List.of("c")), () -> 0, () -> weight);
         keeping.begin(plan);
         keeper.start();
     }
@@ -104,16 +105,17 @@
         }
     }
 
-    private Room.Kind taken(int tenant, double work) {
-        return parts.take(tenant, 0, work, 0, loop.now()).kind();
+    private AdmissionDecision.Kind taken(int tenant, double work) {
+        return parts.acquire(tenant, 0, work, 0, loop.now()).kind();
     }
 
     @Test
     void aMemberUsesWhatTheBookGivesWhileItCanProveIt() throws Exception {
         try (var records = EmbeddedCoordination.open(loop, folder, EmbeddedCoordination.Limits.DEFAULT)) {
             begin(records, plan(1, exams(2_000_000, true)));
-            assertEquals(Room.Kind.OVER, taken(1, 1_000), "capped, and nothing is proven yet");
-            assertEquals(Room.Kind.FREE, taken(0, 1_000), "others go on");
+            assertEquals(AdmissionDecision.Kind.REFUSED, taken(1, 1_000),
+                    "capped, and nothing is proven yet");
+            assertEquals(AdmissionDecision.Kind.FREE, taken(0, 1_000), "others go on");
             until("given", () -> parts.rate("exams", loop.now()) == 2_000_000);
             keeping.replace(plan(2, exams(3_000_000, true)));
             until("grown", () -> parts.rate("exams", loop.now()) == 3_000_000);
@@ -122,12 +124,13 @@
             keeping.replace(plan(2));
             until("not the content of that revision", () -> parts.rate("exams", loop.now()) == 1_800_000);
             keeping.replace(plan(3));
-            until("dropped", () -> taken(1, 1_000) != Room.Kind.OVER && parts.rate("exams", loop.now()) == 0);
+            until("dropped", () -> taken(1, 1_000) != AdmissionDecision.Kind.REFUSED
+                    && parts.rate("exams", loop.now()) == 0);
             keeping.replace(plan(4, exams(1_000_000, true)));
             until("again", () -> parts.rate("exams", loop.now()) == 1_000_000);
             keeper.close();
             until("no view any more", () -> parts.rate("exams", loop.now()) == 0);
-            assertEquals(Room.Kind.OVER, taken(1, 1_000));
+            assertEquals(AdmissionDecision.Kind.REFUSED, taken(1, 1_000));
             keeping.close();
         }
     }
@@ -135,8 +138,8 @@
     /** A book that others keep by a longer lease, until a higher revision comes with this one. */
     @Test
     void whoSettlesInAnotherTimeTakesNoPartUntilARevisionWithItCounts() throws Exception {
-        var others = new Terms(2 * TERMS.settle(), 0.1, 0.05, 0, 1_000_000, 1_000_000);
-        var theirs = new Page(5, 10_000_000, 7_000_000,
+        var others = new LedgerSettings(2 * TERMS.settleTime(), 0.1, 0.05, 0, 1_000_000, 1_000_000);
+        var theirs = new LedgerState(5, 10_000_000, 7_000_000,
                 List.of(new Grant(exams(2_000_000, true), 1, 2_000_000)), List.of(), others);
         var text = new PageText(List.of("a", "b"), List.of("c"));
         try (var records = EmbeddedCoordination.open(loop, folder, EmbeddedCoordination.Limits.DEFAULT)) {
@@ -145,17 +148,17 @@
                             .getBytes(StandardCharsets.UTF_8), Coordination.ABSENT);
             records.commit(put, result -> assertEquals(Coordination.Fate.DONE, result.fate()));
             begin(records, plan(3, exams(2_000_000, true)));
-            long seated = loop.now() + 6 * TERMS.settle();
+            long seated = loop.now() + 6 * TERMS.settleTime();
             until("a while", () -> {
                 assertEquals(0, parts.rate("exams", loop.now()));
                 return loop.now() > seated;
             });
-            assertEquals(Room.Kind.OVER, taken(1, 1_000));
-            assertEquals(Room.Kind.FREE, taken(0, 1_000), "others go on");
+            assertEquals(AdmissionDecision.Kind.REFUSED, taken(1, 1_000));
+            assertEquals(AdmissionDecision.Kind.FREE, taken(0, 1_000), "others go on");
             keeping.replace(plan(4, exams(2_000_000, true)));
             long since = loop.now();
             until("given", () -> parts.rate("exams", loop.now()) == 2_000_000);
-            assertTrue(loop.now() - since > others.settle(), "others may have acted until then");
+            assertTrue(loop.now() - since > others.settleTime(), "others may have acted until then");
             keeping.close();
             keeper.close();
         }
@@ -171,15 +174,17 @@
                 1_000_000, 1_000_000_000_000L)).toList();
         var text = new PageText(List.of("t".repeat(40)), List.of("c".repeat(40), "d".repeat(40),
                 "e".repeat(40)));
-        int bytes = text.write(new Page(1_000_000, 1_000_000_000_000L, 0, grants, List.of(), TERMS)).length;
+        int bytes = text.write(new LedgerState(1_000_000, 1_000_000_000_000L, 0, grants, List.of(),
+                TERMS)).length;
         assertTrue(bytes > 40_000 && bytes < Coordination.LONGEST_VALUE, () -> bytes + " bytes");
     }
 
     @Test
     void aPageComesBackAsItWasWritten() throws Exception {
-        var page = new Page(7, 9, 8, List.of(new Grant(new Reservation(new Service("x", 1, Set.of(0, 2)), 5,
+        var page = new LedgerState(7, 9, 8, List.of(new Grant(new Reservation(new Service("x", 1,
+                Set.of(0, 2)), 5,
                 List.of(new Span(-3, 4), new Span(4, 9)), 6, true), 3, 2), new Grant(exams(4, false), 1, 0)),
-                List.of(new Freed(6, 1)), TERMS);
+                List.of(new ReleasedCapacity(6, 1)), TERMS);
         var text = new PageText(List.of("a", "b"), List.of("c", "d", "e"));
         assertEquals(page, text.read(text.write(page)));
         // Numbers are an order of the settings, names are not; what they lack makes it no page.
