--- a/decisions/src/main/java/ryemast/reservation/DemandWeighting.java
+++ b/decisions/src/main/java/ryemast/reservation/DemandWeighting.java
@@ -7,19 +7,17 @@
 
 /**
  * Shifts one member's quota of each reservation towards the members its clients use. Given equal quotas that
- * add up to at most one whole ({@link ryemast.fleet.choices.SettledMembers}), guarantees that the quotas derived here
- * do too, without agreement between members: demand on which a member bases its quota is
- * counted by every
- * other member with a quota, with at least that value.
+ * add up to at most one whole ({@link ryemast.fleet.choices.SettledMembers}), guarantees that the quotas
+ * derived here do too, without agreement between members: demand on which a member bases its quota is counted
+ * by every other member with a quota, with at least that value.
  *
  * <p>Each member reports its demand with its heartbeat. An increase counts at once with all who read it, and
  * with the member itself when it has been listed for twice the settle time; a decrease counts with the member
  * itself before it is written, and with others the settle time after they read it. These are the times of
- * {@link ryemast.fleet.choices.SettledMembers}, for the same reason: nobody acts on an older list (leases: Gray and
- * Cheriton, 1989). With e the equal quota, a the demand the member uses for itself and
- * W the sum of that and what it counts for all others, the quota is (e + 9a) / (1 + 9W): as nobody's W is less than the
- * sum of all
- * a, the quotas add up to at most 1.
+ * {@link ryemast.fleet.choices.SettledMembers}, for the same reason: nobody acts on an older list (leases:
+ * Gray and Cheriton, 1989). With e the equal quota, a the demand the member uses for itself and W the sum of
+ * that and what it counts for all others, the quota is (e + 9a) / (1 + 9W): as nobody's W is less than the
+ * sum of all a, the quotas add up to at most 1.
  *
  * <p>A member that is no longer listed has no demand, but counts for the settle time. While any listed member
  * doesn't report its demand, no quota exceeds the equal one, as that member uses the equal one.
--- a/decisions/src/main/java/ryemast/reservation/MemberQuotas.java
+++ b/decisions/src/main/java/ryemast/reservation/MemberQuotas.java
@@ -11,13 +11,11 @@
  * members together use no more of a reservation than its largest allocation times that period, and the burst;
  * plus one job per member where a member's share of the burst is smaller than the job. This holds during any
  * change of members or of the ledger and under any partition: quotas grow only after others have given theirs
- * up
- * ({@link SettledMembers}), and a member that can't prove its view of both uses neither reserved nor borrowed
- * capacity. Quotas are equal where nothing is requested, and otherwise follow the demand that members report
- * to each
- * other ({@link DemandWeighting}). A member whose settle time differs from the ledger's uses neither
- * reserved nor borrowed capacity, as its views would expire later, or others' capacity be reused sooner, than
- * assumed.
+ * up ({@link SettledMembers}), and a member that can't prove its view of both uses neither reserved nor
+ * borrowed capacity. Quotas are equal where nothing is requested, and otherwise follow the demand that
+ * members report to each other ({@link DemandWeighting}). A member whose settle time differs from the
+ * ledger's uses neither reserved nor borrowed capacity, as its views would expire later, or others' capacity
+ * be reused sooner, than assumed.
  *
  * <p>Lending: the overflow of a reservation's full bucket is certainly unused and may be borrowed by others,
  * so that lending takes nothing from the holder's bucket. Only jobs that are expected to run for
--- a/decisions/src/main/java/ryemast/timetable/Execution.java
+++ b/decisions/src/main/java/ryemast/timetable/Execution.java
@@ -1,6 +1,6 @@
 package ryemast.timetable;
 
-import ryemast.recovery.Aftermath;
+import ryemast.recovery.RecoveryPolicy;
 import ryemast.timetable.RecordContent.ExecutionRecord;
 import ryemast.timetable.RecordContent.How;
 
@@ -62,7 +62,7 @@
 
     /** How long to wait before the next submission, in microseconds. */
     long backoff() {
-        return Math.max(retryAfter, Aftermath.pause(refusals + failures));
+        return Math.max(retryAfter, RecoveryPolicy.backoff(refusals + failures));
     }
 
     /** Prepares another submission, not before a given time. */
--- a/decisions/src/main/java/ryemast/timetable/TransitionRules.java
+++ b/decisions/src/main/java/ryemast/timetable/TransitionRules.java
@@ -1,6 +1,6 @@
 package ryemast.timetable;
 
-import ryemast.recovery.Aftermath;
+import ryemast.recovery.RecoveryPolicy;
 import ryemast.timetable.RecordContent.How;
 import ryemast.timetable.RecordContent.State;
 
@@ -99,8 +99,9 @@
             return context.wall > execution.record.startDeadline() ? notStarted(execution) : once
                     ? Next.RECORD_REFUSAL : Next.RETRY;
         }
-        return Aftermath.after(Aftermath.Turn.FAILED, once, execution.failures, context.maxFailures)
-                == Aftermath.Next.AGAIN ? Next.RETRY : Next.FAILED;
+        return RecoveryPolicy.nextStep(RecoveryPolicy.DispatchOutcome.FAILED, once, execution.failures,
+                context.maxFailures)
+                == RecoveryPolicy.NextStep.RESUBMIT ? Next.RETRY : Next.FAILED;
     }
 
     private static Next nextForOther(Execution execution, Context context) {
