--- a/decisions/src/main/java/ryemast/health/AccrualDetector.java
+++ b/decisions/src/main/java/ryemast/health/AccrualDetector.java
@@ -93,7 +93,7 @@
     }
 
     /** Seconds since the next sign was due, 0 or less if none is overdue. */
-    double overdueSeconds(AttemptMonitor job, long now, long heardAt) {
+    double overdueSeconds(AttemptMonitor job, long now, long lastActivityAt) {
         if (awaitsStart(job)) {
             return detector.observableSeconds(job.dueAt, now)
                     - (Math.min(minStartDelay, period) + period) / SECOND;
@@ -102,7 +102,7 @@
                 - 2 * runTimes.median(expectedRun(job));
         double sinceProgress = job.lastProgressAt == 0 ? overrun
                 : (now - job.lastProgressAt - PROGRESS_TOLERANCE * progressInterval) / SECOND;
-        return Math.min((now - heardAt) / SECOND, Math.min(overrun, sinceProgress));
+        return Math.min((now - lastActivityAt) / SECOND, Math.min(overrun, sinceProgress));
     }
 
     /** The share of undisturbed jobs that are as overdue as this one; 1 if nothing is overdue. */
--- a/decisions/src/main/java/ryemast/health/Belief.java
+++ b/decisions/src/main/java/ryemast/health/Belief.java
@@ -5,10 +5,10 @@
 /**
  * The estimated health of a worker, with its probability and its cause.
  *
- * @param sickProbability     probability that it is flaky or down, from 0 to 1
- * @param share    the part of its usual traffic that it gets
- * @param reason   the most frequent failure since the worker was last well; null if there was none
- * @param overdueSeconds  seconds for which a sign of life is overdue now
+ * @param sickProbability  probability that it is flaky or down, from 0 to 1
+ * @param share            the part of its usual traffic that it gets
+ * @param reason           the most frequent failure since the worker was last well; null if there was none
+ * @param overdueSeconds   seconds for which a sign of life is overdue now
  */
 public record Belief(String worker, State state, double sickProbability, TrafficState trafficState,
         double share, Sign reason,
--- a/decisions/src/main/java/ryemast/health/OutlierDetector.java
+++ b/decisions/src/main/java/ryemast/health/OutlierDetector.java
@@ -57,7 +57,7 @@
     long sends;
 
     /**
-     * @param startsReported        whether workers report when a job starts
+     * @param startsReported    whether workers report when a job starts
      * @param progressInterval  time between progress reports of a running job, 0 if there are none
      * @param period            the length of a round, within which nothing counts as overdue
      * @param self              the dispatcher's number, from 0
--- a/decisions/src/main/java/ryemast/health/WorkerHealth.java
+++ b/decisions/src/main/java/ryemast/health/WorkerHealth.java
@@ -177,9 +177,9 @@
             rejections += job.sentAt > lastRejectedAt ? 1 : 0;
             lastRejectedAt = now;
         }
-        boolean trouble = sign.isFailure() && (sign != Sign.NOTHING || aliveLikelihood < HUNG_LIKELIHOOD);
-        failureCounts[sign.ordinal()] += trouble ? 1 : 0;
-        if (sign == Sign.SERVED || trouble) {
+        boolean failure = sign.isFailure() && (sign != Sign.NOTHING || aliveLikelihood < HUNG_LIKELIHOOD);
+        failureCounts[sign.ordinal()] += failure ? 1 : 0;
+        if (sign == Sign.SERVED || failure) {
             evidence++;
             lastSignAt = now;
             detector.baseline.count(sign, job.jobClass, detector.mostWorkersSick() ? 1 : well, now);
@@ -187,10 +187,10 @@
         if (sign == Sign.SERVED) {
             consecutiveProbes = 0;
             nextProbeAt = now;
-        } else if (trouble) {
+        } else if (failure) {
             lastFailureSilent = sign == Sign.NOTHING;
         }
-        if (trouble || trafficState != TrafficState.FULL) {
+        if (failure || trafficState != TrafficState.FULL) {
             detector.markDirty(this);
         }
     }
--- a/decisions/src/main/java/ryemast/pacing/BlockingQuery.java
+++ b/decisions/src/main/java/ryemast/pacing/BlockingQuery.java
@@ -9,7 +9,8 @@
  * calls are limited in rate whatever the server does, by a token bucket. Failures are followed by exponential
  * backoff with full jitter (each pause between 0 and the bound, so that dispatchers which lost their server
  * together do not reconnect together). The next call goes to the next server in order where another one may
- * succeed; after {@link PollingPolicy#failbackAfter} the first server is used again.
+ * succeed; after {@link PollingPolicy#failbackAfter} the first server is used again. Where no other server
+ * may help, pauses are longer, and between half the bound and the bound.
  *
  * <p>Exactly one call is outstanding at a time: {@link #startCall} at {@link #nextCallAt} or later, then
  * either {@link #answered} or {@link #failed}.
@@ -21,7 +22,7 @@
      *
      * @param server    number of the server, from 0
      * @param index     the index to wait on; 0: the server answers at once
-     * @param maxWait      the longest time that the server may wait for a change
+     * @param maxWait   the longest time that the server may wait for a change
      * @param deadline  when the call has failed if there is no answer
      */
     public record Call(int server, long index, long maxWait, long deadline) {
--- a/decisions/src/main/java/ryemast/pacing/DiscoveryCallSchedule.java
+++ b/decisions/src/main/java/ryemast/pacing/DiscoveryCallSchedule.java
@@ -93,7 +93,7 @@
 
     /**
      * @param refreshInterval  the time within which the list must be requested, in microseconds
-     * @param pushed    whether an agent pushes changes
+     * @param pushed           whether an agent pushes changes
      */
     public DiscoveryCallSchedule(int self, int dispatchers, long refreshInterval, boolean pushed,
             SplittableRandom random) {
--- a/decisions/src/main/java/ryemast/pacing/PollingPolicy.java
+++ b/decisions/src/main/java/ryemast/pacing/PollingPolicy.java
@@ -3,14 +3,14 @@
 /**
  * Rate limit, time limits and backoff of polling calls. Times are in microseconds.
  *
- * @param maxWait        the longest time that a server may wait for a change before it answers
- * @param answerSlack       how much longer than that its answer may take
- * @param burst       number of consecutive answers that may be followed by the next call at once
- * @param interval       the least time between calls after that
+ * @param maxWait         the longest time that a server may wait for a change before it answers
+ * @param answerSlack     how much longer than that its answer may take
+ * @param burst           number of consecutive answers that may be followed by the next call at once
+ * @param interval        the least time between calls after that
  * @param initialBackoff  the backoff after a first failure; doubled with each consecutive one
- * @param maxBackoff   the longest backoff
- * @param slowBackoff   the first backoff after a failure that is unlikely to pass soon: a rate limit or a
- *                    rejected token
+ * @param maxBackoff      the longest backoff
+ * @param slowBackoff     the first backoff after a failure that is unlikely to pass soon: a rate limit or a
+ *                        rejected token
  * @param failbackAfter   the time at another server after which the first server is tried again
  */
 public record PollingPolicy(long maxWait, long answerSlack, int burst, long interval, long initialBackoff,
--- a/decisions/src/test/java/ryemast/health/FleetBudgetTest.java
+++ b/decisions/src/test/java/ryemast/health/FleetBudgetTest.java
@@ -21,7 +21,7 @@
     /** Probes sent by each dispatcher in each window, with every permit used. */
     private static int[][] probesByWindow(int members, int windows) {
         var permits = IntStream.range(0, members).mapToObj(self -> new ProbePermits(self, members)).toList();
-        permits.forEach(turns -> turns.noteTime(0));
+        permits.forEach(each -> each.noteTime(0));
         var probes = new int[windows][members];
         for (int window = 0; window < windows; window++) {
             for (int self = 0; self < members; self++) {
--- a/decisions/src/test/java/ryemast/health/OutlierDetectorTest.java
+++ b/decisions/src/test/java/ryemast/health/OutlierDetectorTest.java
@@ -244,13 +244,14 @@
                 job(worker, Sign.NO_CONNECTION);
             }
         }
-        long ejected = workers.stream().filter(box -> box.trafficState() == TrafficState.EJECTED).count();
+        long ejected = workers.stream()
+                .filter(worker -> worker.trafficState() == TrafficState.EJECTED).count();
         assertTrue(ejected >= 3 && ejected <= 4, ejected + " ejected");
     }
 
     @Test
     void remainingWorkersOfAFailedZoneAreSuspect() {
-        workers.forEach(box -> box.updatePlacement(workers.indexOf(box) < 4 ? 1 : 2, 1));
+        workers.forEach(worker -> worker.updatePlacement(workers.indexOf(worker) < 4 ? 1 : 2, 1));
         for (int i = 0; i < 9; i++) {
             job(i % 3, Sign.NO_CONNECTION);
         }
