--- a/decisions/src/test/java/ryemast/fleet/choices/FleetSimulation.java
+++ b/decisions/src/test/java/ryemast/fleet/choices/FleetSimulation.java
@@ -20,7 +20,7 @@
     private static final long STEP = 100_000;
     static final FleetLimit LIMIT = new FleetLimit("trial", 5, 10_000_000, 200_000);
 
-    /** What a member counts, and its share: {@link Seats}, or a faulty variant of it. */
+    /** What a member counts, and its share: {@link SettledMembers}, or a faulty variant of it. */
     interface ShareModel {
         void seen(long asOf, long now, Collection<String> members);
 
--- a/lab/src/main/java/ryemast/lab/choices/TurnFigures.java
+++ b/lab/src/main/java/ryemast/lab/choices/TurnFigures.java
@@ -31,7 +31,7 @@
             for (int i = 0; i < places.length; i++) {
                 places[i] = switch (this) {
                     case ROTATED ->
-                    PermitOrder.rotatedPosition(PermitOrder.mix(resource), window, i, places.length);
+                            PermitOrder.rotatedPosition(PermitOrder.mix(resource), window, i, places.length);
                     case BALANCED -> PermitOrder.balancedPosition(resource, window, i, places.length);
                     case RANKED -> PermitOrder.rankedPosition(resource, window, members.get(i), members);
                 };
