--- a/decisions/src/main/java/ryemast/reservation/ReservationLedger.java
+++ b/decisions/src/main/java/ryemast/reservation/ReservationLedger.java
@@ -47,8 +47,8 @@
     /** Wall time of the last step: windows that ended before it are ignored. */
     private long lastStepWall = Long.MIN_VALUE;
 
-    public ReservationLedger(LedgerSettings terms) {
-        this.settings = terms;
+    public ReservationLedger(LedgerSettings settings) {
+        this.settings = settings;
     }
 
     /**
--- a/decisions/src/main/java/ryemast/timetable/CommitQueue.java
+++ b/decisions/src/main/java/ryemast/timetable/CommitQueue.java
@@ -95,18 +95,18 @@
 
     private void prepareCommit(long fence, long revision) {
         var writes = new ArrayList<Write>();
-        var wishes = new ArrayList<PendingChange>();
+        var changes = new ArrayList<PendingChange>();
         var keys = new HashSet<List<Object>>();
         for (var queue : List.of(urgentQueue, backgroundQueue)) {
-            while (!queue.isEmpty() && fits(queue.peekFirst(), wishes, writes.size(), keys)) {
+            while (!queue.isEmpty() && fits(queue.peekFirst(), changes, writes.size(), keys)) {
                 var change = queue.removeFirst();
-                wishes.add(change);
+                changes.add(change);
                 writes.addAll(change.writes());
             }
         }
-        if (!wishes.isEmpty()) {
-            inFlight = wishes;
-            commit = new Commit(++lastId, fence, wishes.stream().anyMatch(PendingChange::claims) ? revision
+        if (!changes.isEmpty()) {
+            inFlight = changes;
+            commit = new Commit(++lastId, fence, changes.stream().anyMatch(PendingChange::claims) ? revision
                     : 0, writes);
         }
     }
@@ -128,31 +128,31 @@
         return true;
     }
 
-    void onAnswer(long id, CommitResult fate, List<Long> versions, long now) {
+    void onAnswer(long id, CommitResult result, List<Long> versions, long now) {
         if (commit == null || commit.id() != id) {
             return;
         }
-        if (fate == CommitResult.UNKNOWN || fate == CommitResult.NOT_DONE && inDoubt) {
+        if (result == CommitResult.UNKNOWN || result == CommitResult.NOT_DONE && inDoubt) {
             inDoubt = true;
             resumeAt = now + nextBackoff();
             return;
         }
-        var over = inFlight;
+        var finished = inFlight;
         commit = null;
         inFlight = List.of();
         inDoubt = false;
-        if (fate == CommitResult.DONE) {
+        if (result == CommitResult.DONE) {
             backoff = 0;
             resumeAt = now;
             int at = 0;
-            for (var change : over) {
+            for (var change : finished) {
                 int end = at + change.writes().size();
                 listener.done(change, versions.subList(at, end));
                 at = end;
             }
         } else {
             resumeAt = now + nextBackoff();
-            over.forEach(each -> listener.dropped(each, fate == CommitResult.CONFLICT));
+            finished.forEach(each -> listener.dropped(each, result == CommitResult.CONFLICT));
         }
     }
 
--- a/decisions/src/main/java/ryemast/timetable/RecordContent.java
+++ b/decisions/src/main/java/ryemast/timetable/RecordContent.java
@@ -55,8 +55,8 @@
         }
 
         /** The same state under another holder or fencing token. */
-        ExecutionRecord withHolder(String self, long ownFence, int nextTurn, long startUntil) {
-            return new ExecutionRecord(state, self, ownFence, nextTurn, runsOnce, recordedAt, startUntil,
+        ExecutionRecord withHolder(String self, long ownFence, int nextAttempt, long startUntil) {
+            return new ExecutionRecord(state, self, ownFence, nextAttempt, runsOnce, recordedAt, startUntil,
                     outcome, reason);
         }
     }
--- a/decisions/src/main/java/ryemast/timetable/RecordWriter.java
+++ b/decisions/src/main/java/ryemast/timetable/RecordWriter.java
@@ -15,8 +15,8 @@
     private final ReplicaState replica;
     private final CommitQueue commits = new CommitQueue(this);
 
-    RecordWriter(ReplicaState here) {
-        this.replica = here;
+    RecordWriter(ReplicaState replica) {
+        this.replica = replica;
     }
 
     CommitQueue commits() {
@@ -59,10 +59,10 @@
                 false);
     }
 
-    void writeRecord(Execution execution, ExecutionRecord to, boolean leased) {
+    void writeRecord(Execution execution, ExecutionRecord to, boolean needsLease) {
         execution.changePending = true;
         execution.job.pendingChanges++;
-        commits.enqueue(new PendingChange(execution.job, execution, to, null, leased, false, List.of(),
+        commits.enqueue(new PendingChange(execution.job, execution, to, null, needsLease, false, List.of(),
                 List.of(new Write(execution.job.name, execution.scheduledTime, to, execution.version))),
                 true);
     }
@@ -97,7 +97,7 @@
      * expired records.
      */
     private void enqueue(TrackedJob job, Execution execution, ExecutionRecord record, Watermark watermark,
-            boolean claims, List<TrackedJob.EndedExecution> dropped) {
+            boolean claims, List<TrackedJob.EndedExecution> purged) {
         job.watermarkPending = true;
         job.pendingChanges++;
         var writes = new ArrayList<Write>();
@@ -105,8 +105,8 @@
         if (execution != null) {
             writes.add(new Write(job.name, execution.scheduledTime, record, 0));
         }
-        dropped.forEach(each -> writes.add(new Write(job.name, each.scheduledTime(), null, each.version())));
-        commits.enqueue(new PendingChange(job, execution, record, watermark, true, claims, dropped, writes),
+        purged.forEach(each -> writes.add(new Write(job.name, each.scheduledTime(), null, each.version())));
+        commits.enqueue(new PendingChange(job, execution, record, watermark, true, claims, purged, writes),
                 claims);
     }
 
@@ -140,11 +140,11 @@
     }
 
     private void applyRecord(Execution execution, ExecutionRecord record, long version) {
-        boolean turned = record.attempt() != execution.record.attempt();
+        boolean newAttempt = record.attempt() != execution.record.attempt();
         execution.record = record;
         execution.version = version;
         execution.holderFenced = false;
-        if (turned) {
+        if (newAttempt) {
             execution.retries = 0;
             execution.resetSubmission(replica.now + (execution.refusals > 0 ? execution.backoff() : 0));
         }
--- a/decisions/src/main/java/ryemast/timetable/ScheduledJob.java
+++ b/decisions/src/main/java/ryemast/timetable/ScheduledJob.java
@@ -34,5 +34,5 @@
      * When the execution of a scheduled time is due, with its jitter: at or after the scheduled time, the
      * same at every replica, and never after the next one's due time.
      */
-    long moment(long nominal);
+    long moment(long scheduledTime);
 }
--- a/decisions/src/main/java/ryemast/timetable/Scheduler.java
+++ b/decisions/src/main/java/ryemast/timetable/Scheduler.java
@@ -58,9 +58,9 @@
             Map<String, Long> fences, long startOrder, long readAt) {
     }
 
-    /** {@code owners}: the member of a fleet view that owns a job. */
-    public Scheduler(Limits limits, BiFunction<String, FleetView, String> owners) {
-        this.ownerOf = owners;
+    /** {@code ownerOf}: the member of a fleet view that owns a job. */
+    public Scheduler(Limits limits, BiFunction<String, FleetView, String> ownerOf) {
+        this.ownerOf = ownerOf;
         replica = new ReplicaState(limits);
         writer = new RecordWriter(replica);
         commits = writer.commits();
@@ -221,9 +221,9 @@
     }
 
     /** {@code versions}: in the order of the commit's writes, if committed. */
-    public void onCommitted(long id, CommitResult fate, List<Long> versions, long at) {
+    public void onCommitted(long id, CommitResult result, List<Long> versions, long at) {
         replica.now = Math.max(replica.now, at);
-        commits.onAnswer(id, fate, versions, at);
+        commits.onAnswer(id, result, versions, at);
     }
 
     private Execution findSubmitted(String jobName, long scheduledTime, int attempt) {
@@ -319,9 +319,9 @@
     private int evaluate(TrackedJob job, int budget) {
         int left = budget;
         if (!job.known) {
-            boolean coming = readResult != null && job.lastChange <= readResult.startOrder
+            boolean readPending = readResult != null && job.lastChange <= readResult.startOrder
                     || reader.readsAll();
-            if (!coming) {
+            if (!readPending) {
                 reader.request(job.name);
             }
             return left;
--- a/decisions/src/main/java/ryemast/timetable/TransitionRules.java
+++ b/decisions/src/main/java/ryemast/timetable/TransitionRules.java
@@ -107,9 +107,9 @@
         if (execution.submitted) {
             return Next.WITHDRAW;
         }
-        boolean gone = execution.holderFenced || execution.record.holder().equals(context.self)
+        boolean holderFenced = execution.holderFenced || execution.record.holder().equals(context.self)
                 && execution.record.fence() < context.fence;
-        if (!gone) {
+        if (!holderFenced) {
             return Next.HELD_BY_OTHER;
         }
         if (!context.owner) {
--- a/decisions/src/test/java/ryemast/reservation/DemandWeightingTest.java
+++ b/decisions/src/test/java/ryemast/reservation/DemandWeightingTest.java
@@ -42,7 +42,7 @@
 
     /** {@code asked}: the demand at each member, in reservations per second, as jobs with random arrivals. */
     private void run(long length, double... asked) {
-        var page = new LedgerState(1, 100 * S, 0, List.of(new Grant(PACK, 1, PACK.perSecond())), List.of(),
+        var state = new LedgerState(1, 100 * S, 0, List.of(new Grant(PACK, 1, PACK.perSecond())), List.of(),
                 LedgerSimulation.SETTINGS);
         for (long end = now + length; now < end; now += STEP) {
             if (now % S == 0) {
@@ -53,7 +53,7 @@
                         .mapToObj(each -> new ListedMember(names.get(each), reports.get(each))).toList();
                 fleet.forEach(each -> {
                     each.updateMembers(now, now, listed);
-                    each.updateLedger(now, now, page);
+                    each.updateLedger(now, now, state);
                 });
             }
             for (int i = 0; i < asked.length; i++) {
--- a/decisions/src/test/java/ryemast/reservation/LedgerSimulation.java
+++ b/decisions/src/test/java/ryemast/reservation/LedgerSimulation.java
@@ -27,12 +27,12 @@
 
     /** How members are created and informed; overridden to plant faults. */
     static class Wiring {
-        MemberQuotas parts(String self, LedgerSettings terms) {
-            return new MemberQuotas(self, terms);
+        MemberQuotas parts(String self, LedgerSettings settings) {
+            return new MemberQuotas(self, settings);
         }
 
-        ReservationLedger book(LedgerSettings terms) {
-            return new ReservationLedger(terms);
+        ReservationLedger book(LedgerSettings settings) {
+            return new ReservationLedger(settings);
         }
 
         /** The state that a member's quotas receive. */
@@ -115,7 +115,7 @@
     boolean wallClockSteps;
     /** Some joining members run an older program, which knows equal quotas only. */
     boolean mixed;
-    /** New terms come. */
+    /** New settings arrive. */
     boolean revised;
     int nextMember;
     long now = 10 * S;
@@ -393,12 +393,12 @@
     private void checkAllocations() {
         var most = new HashMap<String, Long>();
         long free = 0;
-        var parts = new double[5];
+        var quotas = new double[5];
         for (var each : processes) {
             boolean acts = false;
             for (int i = 0; i < 5; i++) {
                 double part = each.pausedUntil <= now ? each.quotas.quota("service-" + i, now) : 0;
-                parts[i] += part;
+                quotas[i] += part;
                 acts |= part > 0;
             }
             if (acts) {
@@ -408,18 +408,18 @@
                 }
             }
         }
-        lastQuotas = parts;
-        double sumOfParts = Arrays.stream(parts).max().orElseThrow();
+        lastQuotas = quotas;
+        double sumOfParts = Arrays.stream(quotas).max().orElseThrow();
         if (sumOfParts > 1 + 1e-9) {
             violations.add(now + ": quotas add up to " + sumOfParts);
         }
         long promises = 0;
         var given = new HashMap<String, Long>();
         for (int i = history.size() - 1; i >= 0; i--) {
-            var page = history.get(i).state();
-            promises = Math.max(promises, page.settings() == null ? 0
-                    : (long) (page.capacity() * (1 - page.settings().margin())));
-            page.grants().forEach(each ->
+            var state = history.get(i).state();
+            promises = Math.max(promises, state.settings() == null ? 0
+                    : (long) (state.capacity() * (1 - state.settings().margin())));
+            state.grants().forEach(each ->
                     given.merge(each.reservation().service().name(), each.allocated(), Math::max));
             if (history.get(i).from() < now - SETTLE) {
                 break;
@@ -471,10 +471,10 @@
 
     /** Differences between the stored state and the entitlements, in a fleet at rest. */
     String unsettled() {
-        var book = new ReservationLedger(revisions.get(revisions.size() - 1));
-        book.load(state(), now);
-        var entitled = book.entitlements(now);
-        long rest = book.reservableCapacity();
+        var ledger = new ReservationLedger(revisions.get(revisions.size() - 1));
+        ledger.load(state(), now);
+        var entitled = ledger.entitlements(now);
+        long rest = ledger.reservableCapacity();
         for (int i = 0; i < entitled.size(); i++) {
             if (state().grants().get(i).allocated() != entitled.get(i)) {
                 return "allocated " + state().grants().get(i) + ", entitled to " + entitled.get(i);
--- a/decisions/src/test/java/ryemast/reservation/MemberQuotasTest.java
+++ b/decisions/src/test/java/ryemast/reservation/MemberQuotasTest.java
@@ -31,21 +31,21 @@
 
     /** The first violation; empty: none. */
     private static String fault(int seed, int members, LedgerSimulation.Wiring wiring) {
-        var site = new LedgerSimulation(seed, members, wiring);
-        site.wallClockSteps = seed / 3 % 2 == 0;
-        site.mixed = seed % 4 == 3;
-        site.revised = seed % 2 == 1;
+        var simulation = new LedgerSimulation(seed, members, wiring);
+        simulation.wallClockSteps = seed / 3 % 2 == 0;
+        simulation.mixed = seed % 4 == 3;
+        simulation.revised = seed % 2 == 1;
         // Runs with many changes check what members assume; in runs with few the buckets fill.
-        site.run(members > 50 ? 25 : 48, List.of(0.3, 0.1, 0.02).get(seed % 3));
-        double excess = site.largestExcess();
-        site.wallClockSteps = false;
-        site.run(45, 0);
-        return !site.violations.isEmpty() ? site.violations.get(0)
+        simulation.run(members > 50 ? 25 : 48, List.of(0.3, 0.1, 0.02).get(seed % 3));
+        double excess = simulation.largestExcess();
+        simulation.wallClockSteps = false;
+        simulation.run(45, 0);
+        return !simulation.violations.isEmpty() ? simulation.violations.get(0)
                 : excess > 1 ? "used " + excess + " times what bursts allow"
-                : !site.unsettled().isEmpty() ? site.unsettled()
-                : site.mixed || DoubleStream.of(site.lastQuotas).allMatch(each -> Math.abs(each - 1) < 1e-9)
-                ? ""
-                : "quotas add up to " + Arrays.toString(site.lastQuotas) + " at rest";
+                : !simulation.unsettled().isEmpty() ? simulation.unsettled()
+                : simulation.mixed || DoubleStream.of(simulation.lastQuotas)
+                .allMatch(each -> Math.abs(each - 1) < 1e-9) ? ""
+                : "quotas add up to " + Arrays.toString(simulation.lastQuotas) + " at rest";
     }
 
     private static LedgerSettings withSettleTime(long settle) {
@@ -54,15 +54,15 @@
                 sound.lendTime());
     }
 
-    private static LedgerState withSettings(LedgerState read, LedgerSettings terms) {
+    private static LedgerState withSettings(LedgerState read, LedgerSettings settings) {
         return new LedgerState(read.version(), read.capacity(), read.free(), read.grants(), read.released(),
-                terms);
+                settings);
     }
 
     private static LedgerSimulation.Wiring weighting(long hold, long wait) {
         return new LedgerSimulation.Wiring() {
             @Override
-            MemberQuotas parts(String self, LedgerSettings terms) {
+            MemberQuotas parts(String self, LedgerSettings settings) {
                 return new MemberQuotas(self, LedgerSimulation.SETTINGS,
                         new DemandWeighting(self, hold, wait));
             }
@@ -91,7 +91,7 @@
             entry("a quota grown before another was given up: quotas add up to",
             new LedgerSimulation.Wiring() {
                 @Override
-                MemberQuotas parts(String self, LedgerSettings terms) {
+                MemberQuotas parts(String self, LedgerSettings settings) {
                     return new MemberQuotas(self, withSettleTime(SETTLE / 20));
                 }
 
@@ -107,7 +107,7 @@
             }),
             entry("a dead member's quota never released: quotas add up to", new LedgerSimulation.Wiring() {
                 @Override
-                MemberQuotas parts(String self, LedgerSettings terms) {
+                MemberQuotas parts(String self, LedgerSettings settings) {
                     return new MemberQuotas(self, withSettleTime(20 * SETTLE));
                 }
 
@@ -118,7 +118,7 @@
             }),
             entry("released capacity allocated before it settled: assumed", new LedgerSimulation.Wiring() {
                 @Override
-                ReservationLedger book(LedgerSettings terms) {
+                ReservationLedger book(LedgerSettings settings) {
                     return new ReservationLedger(withSettleTime(1));
                 }
 
@@ -164,13 +164,13 @@
     void viewExpiresCountedFromItsRequest() {
         for (boolean late : new boolean[] {false, true}) {
             var reserved = new Reservation(new Service("pack", 0, Set.of()), S, List.of(), 0, true);
-            var page = new LedgerState(1, 3 * S, S, List.of(new Grant(reserved, 1, S)), List.of(),
+            var state = new LedgerState(1, 3 * S, S, List.of(new Grant(reserved, 1, S)), List.of(),
                     LedgerSimulation.SETTINGS);
-            var quotas = fleet(1, LedgerSimulation.SETTINGS, page).get(0);
+            var quotas = fleet(1, LedgerSimulation.SETTINGS, state).get(0);
             long asked = 3 * SETTLE;
             var self = List.of(new ListedMember("member-0", Map.of()));
             quotas.updateMembers(late ? asked : asked + SETTLE / 2, asked + SETTLE / 2, self);
-            quotas.updateLedger(late ? asked + SETTLE / 2 : asked, asked + SETTLE / 2, page);
+            quotas.updateLedger(late ? asked + SETTLE / 2 : asked, asked + SETTLE / 2, state);
             assertEquals(1, quotas.quota("pack", asked + SETTLE));
             assertEquals(0, quotas.quota("pack", asked + SETTLE + 1), "the older of both views has expired");
         }
@@ -183,40 +183,40 @@
     @Test
     void memberWithAnotherSettleTimeHasNoQuota() {
         var reserved = new Reservation(new Service("pack", 0, Set.of()), S, List.of(), 0, true);
-        var page = new LedgerState(1, 3 * S, S, List.of(new Grant(reserved, 1, S)), List.of(),
+        var state = new LedgerState(1, 3 * S, S, List.of(new Grant(reserved, 1, S)), List.of(),
                 LedgerSimulation.SETTINGS);
-        var quotas = fleet(1, LedgerSimulation.SETTINGS, page).get(0);
+        var quotas = fleet(1, LedgerSimulation.SETTINGS, state).get(0);
         long now = 3 * SETTLE;
         assertEquals(Kind.RESERVED, quotas.acquire(0, 0, S / 10, 0, now).kind());
         var self = List.of("member-0");
-        refresh(List.of(quotas), self, withSettings(page, withSettleTime(SETTLE + 1)), now + 1);
+        refresh(List.of(quotas), self, withSettings(state, withSettleTime(SETTLE + 1)), now + 1);
         assertEquals(0, quotas.quota("pack", now + 1));
         assertEquals(Kind.REFUSED, quotas.acquire(0, 0, S / 10, 0, now + 1).kind());
         assertEquals(Kind.FREE, quotas.acquire(1, 0, S / 10, 0, now + 1).kind(), "others are not affected");
-        refresh(List.of(quotas), self, withSettings(page, null), now + 2);
+        refresh(List.of(quotas), self, withSettings(state, null), now + 2);
         assertEquals(0, quotas.quota("pack", now + 2), "no settle time is known");
-        refresh(List.of(quotas), self, withSettings(page, new LedgerSettings(SETTLE, 0.3, 0, S, 2 * S, 0)),
+        refresh(List.of(quotas), self, withSettings(state, new LedgerSettings(SETTLE, 0.3, 0, S, 2 * S, 0)),
                 now + 3);
         assertEquals(1, quotas.quota("pack", now + 3), "all other settings are the ledger's");
-        refresh(List.of(quotas), self, page, now + 3 + 60 * S);
+        refresh(List.of(quotas), self, state, now + 3 + 60 * S);
         assertEquals(Kind.REFUSED, quotas.acquire(0, 0, 3 * S, 0, now + 4 + 60 * S).kind());
     }
 
     /** Members with one stable state, each fresh for the settle time from now on. */
-    private static List<MemberQuotas> fleet(int members, LedgerSettings terms, LedgerState page) {
+    private static List<MemberQuotas> fleet(int members, LedgerSettings settings, LedgerState state) {
         var names = IntStream.range(0, members).mapToObj(each -> "member-" + each).toList();
-        var fleet = names.stream().map(name -> new MemberQuotas(name, terms)).toList();
+        var fleet = names.stream().map(name -> new MemberQuotas(name, settings)).toList();
         for (long now = 0; now <= 3 * SETTLE; now += S) {
-            refresh(fleet, names, page, now);
+            refresh(fleet, names, state, now);
         }
         return fleet;
     }
 
-    private static void refresh(List<MemberQuotas> fleet, List<String> names, LedgerState page, long now) {
+    private static void refresh(List<MemberQuotas> fleet, List<String> names, LedgerState state, long now) {
         var listed = names.stream().map(each -> new ListedMember(each, Map.of())).toList();
         for (var each : fleet) {
             each.updateMembers(now, now, listed);
-            each.updateLedger(now, now, page);
+            each.updateLedger(now, now, state);
         }
     }
 
@@ -230,12 +230,12 @@
      * partial use, the holder's own at the end, the most borrowed work in flight at one time, and what was
      * admitted as borrowed from the holder's full return on.
      */
-    private static double[] measureLending(int members, LedgerSettings terms, long run, int othersFrom) {
+    private static double[] measureLending(int members, LedgerSettings settings, long run, int othersFrom) {
         long given = 10 * S * members;
         var reserved = new Reservation(new Service("pack", 0, Set.of()), given, List.of(), 0, true);
-        var page = new LedgerState(1, 3 * given, given, List.of(new Grant(reserved, 1, given)), List.of(),
-                terms);
-        var fleet = fleet(members, terms, page);
+        var state = new LedgerState(1, 3 * given, given, List.of(new Grant(reserved, 1, given)), List.of(),
+                settings);
+        var fleet = fleet(members, settings, state);
         var names = IntStream.range(0, members).mapToObj(each -> "member-" + each).toList();
         var out = new ArrayDeque<BorrowingJob>();
         var sums = new double[5];
@@ -243,7 +243,7 @@
         long begin = 3 * SETTLE;
         for (long now = begin; now < begin + 60 * S; now += 100_000) {
             if (now % S == 0) {
-                refresh(fleet, names, page, now);
+                refresh(fleet, names, state, now);
             }
             while (!out.isEmpty() && out.peek().until() <= now) {
                 var ended = out.poll();
--- a/decisions/src/test/java/ryemast/timetable/FleetClockTest.java
+++ b/decisions/src/test/java/ryemast/timetable/FleetClockTest.java
@@ -24,17 +24,18 @@
     @Property(seed = "8", tries = 3_000)
     void usesACorrectTimeWhileMostClocksAreCorrect(@ForAll @IntRange(min = 3, max = 300) int members,
             @ForAll @IntRange(max = 149) int wrong, @ForAll boolean ownWrong, @ForAll long seed) {
-        int lies = Math.min(wrong, (members - 1) / 2);
+        int wrongClocks = Math.min(wrong, (members - 1) / 2);
         var random = new Random(seed);
-        boolean lying = ownWrong && lies > 0;
+        boolean ownIsWrong = ownWrong && wrongClocks > 0;
         var reported = new ArrayList<MemberClock>();
         for (int i = 1; i < members; i++) {
-            boolean lie = i <= lies - (lying ? 1 : 0);
+            boolean isWrong = i <= wrongClocks - (ownIsWrong ? 1 : 0);
             long at = NOW - random.nextInt(20) * SECOND;
-            long off = lie ? (random.nextLong(20_000) - 10_000) * SECOND : random.nextLong(2 * NEAR) - NEAR;
+            long off = isWrong ? (random.nextLong(20_000) - 10_000) * SECOND
+                    : random.nextLong(2 * NEAR) - NEAR;
             reported.add(new MemberClock("m" + i, WALL + at - NOW + off - random.nextLong(LATE), at));
         }
-        long own = WALL + (lying ? (random.nextLong(20_000) - 10_000) * SECOND
+        long own = WALL + (ownIsWrong ? (random.nextLong(20_000) - 10_000) * SECOND
                 : random.nextLong(2 * NEAR) - NEAR);
         var clocks = new FleetClock();
         clocks.update(reported);
@@ -43,7 +44,7 @@
                 (effective - WALL) / SECOND + " s off");
         assertTrue(clocks.overruled() || effective == own);
         // A clock within the bound of all correct clocks is not overruled.
-        assertTrue(lying || !clocks.overruled() || FleetClock.MAX_OFFSET < 2 * NEAR + LATE);
+        assertTrue(ownIsWrong || !clocks.overruled() || FleetClock.MAX_OFFSET < 2 * NEAR + LATE);
         assertEquals(own, new FleetClock().effectiveWallTime(NOW, own), "a single member uses its own clock");
         clocks.update(List.of(reported.get(0)));
         assertEquals(own, clocks.effectiveWallTime(NOW, own), "two have no majority");
--- a/decisions/src/test/java/ryemast/timetable/PeriodicJob.java
+++ b/decisions/src/test/java/ryemast/timetable/PeriodicJob.java
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public long moment(long nominal) {
-        return nominal;
+    public long moment(long scheduledTime) {
+        return scheduledTime;
     }
 }
--- a/decisions/src/test/java/ryemast/timetable/SchedulerHarness.java
+++ b/decisions/src/test/java/ryemast/timetable/SchedulerHarness.java
@@ -49,11 +49,11 @@
 
     /** Runs until no action is due at the current time. */
     void runUntilIdle(Scheduler scheduler) {
-        List<ScheduleAction> deeds;
+        List<ScheduleAction> actions;
         do {
-            deeds = scheduler.evaluate(now, now + wallOffset);
-            deeds.forEach(each -> perform(scheduler, each));
-        } while (!deeds.isEmpty() || scheduler.nextDue() <= now);
+            actions = scheduler.evaluate(now, now + wallOffset);
+            actions.forEach(each -> perform(scheduler, each));
+        } while (!actions.isEmpty() || scheduler.nextDue() <= now);
     }
 
     void advance(Scheduler scheduler, long micros) {
