--- a/decisions/src/main/java/pipitladder/Brain.java
+++ b/decisions/src/main/java/pipitladder/Brain.java
@@ -13,7 +13,7 @@
 import pipitladder.Ledger.Job;
 import pipitladder.Ledger.Worker;
 import ryemast.fleet.choices.TenantShares;
-import ryemast.fleet.signals.Own;
+import ryemast.fleet.signals.LocalEstimate;
 import ryemast.health.Health;
 import ryemast.health.Refusals.Cause;
 import ryemast.health.Sign;
@@ -111,7 +111,7 @@
     }
 
     /** What peers may be told of the workers, by own evidence alone. */
-    public List<Own> beliefs(long time) {
+    public List<LocalEstimate> beliefs(long time) {
         return workers.values().stream().map(worker -> rates.own(worker, time)).toList();
     }
 
--- a/decisions/src/main/java/pipitladder/Ledger.java
+++ b/decisions/src/main/java/pipitladder/Ledger.java
@@ -205,12 +205,12 @@
         /** What peers' signals come to now; null: nothing is known from them. */
         void borrow(Borrowed from, long now) {
             borrowed = from;
-            health.borrow(from == null ? 0 : from.sick(), now);
+            health.borrow(from == null ? 0 : from.suspicion(), now);
         }
 
         double toldSlots(long now) {
             return borrowed == null ? told.size()
-                    : Math.max(told.size(), borrowed.jobs() * borrowed.held(now));
+                    : Math.max(told.size(), borrowed.jobs() * borrowed.loadDecay(now));
         }
 
         /** What is left by now of the jobs that peers told of, one way or the other. */
@@ -220,7 +220,7 @@
             for (var each : told) {
                 sum += Math.min(each.work(), (each.until() - now) / SECOND * speed);
             }
-            double all = borrowed == null ? sum : Math.max(sum, borrowed.work() * borrowed.held(now));
+            double all = borrowed == null ? sum : Math.max(sum, borrowed.work() * borrowed.loadDecay(now));
             ownPart = all > sum ? (work + sum) / (work + all) : 1;
             return all;
         }
--- a/decisions/src/main/java/pipitladder/Rates.java
+++ b/decisions/src/main/java/pipitladder/Rates.java
@@ -9,8 +9,8 @@
 import pipitladder.Ledger.Estimate;
 import pipitladder.Ledger.Flow;
 import pipitladder.Ledger.Worker;
-import ryemast.fleet.signals.Own;
-import ryemast.fleet.signals.Tale;
+import ryemast.fleet.signals.LocalEstimate;
+import ryemast.fleet.signals.WorkerReport;
 import ryemast.limits.PromisedCapacity;
 
 /**
@@ -78,20 +78,22 @@
         if (from == null || from.samples() <= 0) {
             return own;
         }
-        double others = from.samples() * from.opinion(now);
+        double others = from.samples() * from.estimateDecay(now);
         double ours = worker.logSpeed.samples + PRIOR_SAMPLES;
         return Math.exp((Math.log(own) * ours + from.logSpeed() * others) / (ours + others));
     }
 
     /** What we may tell of a worker; without a tale if there is no evidence left. */
-    Own own(Worker worker, long now) {
+    LocalEstimate own(Worker worker, long now) {
         var box = worker.health;
         double evidence = box.evidence(now);
         boolean seen = worker.usedSlots > 0 || evidence >= LEAST_EVIDENCE;
-        var tale = !seen ? null : new Tale(Tale.code(worker.id), worker.usedSlots, Math.max(0, worker.work),
+        var tale = !seen ? null
+                : new WorkerReport(WorkerReport.nameHash(worker.id),
+                worker.usedSlots, Math.max(0, worker.work),
                 worker.logSpeed.samples > 0 ? Math.exp(worker.logSpeed.mean) : 0, worker.logSpeed.samples,
                 box.toTell(now), evidence, box.sinceSign(now));
-        return new Own(worker.id, worker.info.startedAt(), slots(worker), speed(worker), tale);
+        return new LocalEstimate(worker.id, worker.info.startedAt(), slots(worker), speed(worker), tale);
     }
 
     private Estimate ofKind(Worker worker) {
--- a/decisions/src/main/java/ryemast/fleet/signals/Digest.java
+++ b/decisions/src/main/java/ryemast/fleet/signals/Digest.java
@@ -5,110 +5,116 @@
 import java.util.Optional;
 
 /**
- * One datagram: who tells (member and process), how many it told before, when, what it heard last of whom it
- * goes to, and tales of some workers. At most {@link #LONGEST} bytes, so that it crosses any network whole
- * (IPv6 lets each pass 1,280 with its headers). Numbers are written as logarithms in thousandths, small ones
- * in bytes. What does not read as one, by its mark, version or length, is none.
+ * One gossip datagram: the sending member and its process, a sequence number, the send time, an echo of the
+ * last digest received from the addressee, and reports on workers. It has at most {@link #MAX_BYTES} bytes,
+ * so that it is never fragmented (the IPv6 minimum MTU is 1,280 bytes with headers). Positive numbers are
+ * encoded as logarithms in thousandths, small ones in single bytes. A datagram with another magic number,
+ * version or length is rejected.
  *
- * @param member    the teller's name in 32 bits
- * @param process   drawn by each process at its start
- * @param sequence  grows with each digest of a process
- * @param sent      the teller's steady clock as it was sent, in microseconds (T3 of RFC 5905)
- * @param echo      null where nothing was heard yet of the peer that it goes to
+ * @param member    hash of the sender's name, 32 bits
+ * @param process   random ID that each process draws at its start
+ * @param sequence  increases with each digest of a process
+ * @param sentAt    the sender's monotonic clock at sending, in microseconds (T3 of RFC 5905)
+ * @param echo      null if nothing has been received yet from the addressee
  */
-public record Digest(int member, long process, long sequence, long sent, Echo echo, List<Tale> tales) {
+public record Digest(int member, long process, long sequence, long sentAt, Echo echo,
+        List<WorkerReport> reports) {
 
-    public static final int LONGEST = 1200;
-    /** In place of the time that is echoed, where there is none. */
+    public static final int MAX_BYTES = 1200;
+    /** Replaces the echoed send time where there is no echo. */
     private static final long NO_ECHO = -1;
-    private static final int MARK = 0x7279;
+    private static final int MAGIC = 0x7279;
     private static final int VERSION = 2;
-    private static final int HEAD = 56;
-    private static final int EACH = 15;
-    /** So many tales go into one. */
-    public static final int MOST = (LONGEST - HEAD) / EACH;
+    private static final int HEADER_BYTES = 56;
+    private static final int REPORT_BYTES = 15;
+    /** Maximum number of reports in one digest. */
+    public static final int MAX_REPORTS = (MAX_BYTES - HEADER_BYTES) / REPORT_BYTES;
     private static final double THOUSANDTHS = 1000;
-    private static final int MIDDLE = 1 << 15;
-    private static final int BYTE = 0xff;
+    private static final int LOG_OFFSET = 1 << 15;
+    private static final int MAX_BYTE = 0xff;
     private static final long AGE_UNIT = 100_000;
 
     public Digest {
-        tales = List.copyOf(tales);
-        if (tales.size() > MOST) {
-            throw new IllegalArgumentException(tales.size() + " tales in one digest");
+        reports = List.copyOf(reports);
+        if (reports.size() > MAX_REPORTS) {
+            throw new IllegalArgumentException(reports.size() + " reports in one digest");
         }
     }
 
-    /** The same for a peer of which this was heard last. */
-    Digest with(Echo heard) {
-        return new Digest(member, process, sequence, sent, heard, tales);
+    /** A copy for one peer, with the echo of that peer's last digest. */
+    Digest withEcho(Echo peerEcho) {
+        return new Digest(member, process, sequence, sentAt, peerEcho, reports);
     }
 
-    public byte[] bytes() {
-        var to = new byte[HEAD + EACH * tales.size()];
-        put(to, 0, 2, MARK);
-        put(to, 2, 1, VERSION);
-        put(to, 3, 1, tales.size());
-        put(to, 4, 4, member);
-        put(to, 8, 8, process);
-        put(to, 16, 8, sequence);
-        put(to, 24, 8, sent);
-        put(to, 32, 8, echo == null ? 0 : echo.process());
-        put(to, 40, 8, echo == null ? NO_ECHO : echo.sent());
-        put(to, 48, 8, echo == null ? 0 : echo.came());
-        int at = HEAD;
-        for (var tale : tales) {
-            put(to, at, 4, tale.code());
-            put(to, at + 4, 2, Math.min(2 * MIDDLE - 1, Math.round(tale.jobs() * 4)));
-            put(to, at + 6, 2, log(tale.work()));
-            put(to, at + 8, 2, log(tale.speed()));
-            put(to, at + 10, 1, Math.min(BYTE, Math.round(tale.samples() * 4)));
-            put(to, at + 11, 1, Math.round(tale.sick() * BYTE));
-            put(to, at + 12, 1, Math.min(BYTE, Math.round(tale.evidence() * 8)));
-            put(to, at + 13, 2, Math.min(2 * MIDDLE - 1, tale.age() / AGE_UNIT));
-            at += EACH;
+    public byte[] encode() {
+        var buffer = new byte[HEADER_BYTES + REPORT_BYTES * reports.size()];
+        put(buffer, 0, 2, MAGIC);
+        put(buffer, 2, 1, VERSION);
+        put(buffer, 3, 1, reports.size());
+        put(buffer, 4, 4, member);
+        put(buffer, 8, 8, process);
+        put(buffer, 16, 8, sequence);
+        put(buffer, 24, 8, sentAt);
+        put(buffer, 32, 8, echo == null ? 0 : echo.process());
+        put(buffer, 40, 8, echo == null ? NO_ECHO : echo.sentAt());
+        put(buffer, 48, 8, echo == null ? 0 : echo.receivedAt());
+        int offset = HEADER_BYTES;
+        for (var report : reports) {
+            put(buffer, offset, 4, report.nameHash());
+            put(buffer, offset + 4, 2, Math.min(2 * LOG_OFFSET - 1, Math.round(report.jobs() * 4)));
+            put(buffer, offset + 6, 2, encodeLog(report.work()));
+            put(buffer, offset + 8, 2, encodeLog(report.speed()));
+            put(buffer, offset + 10, 1, Math.min(MAX_BYTE, Math.round(report.samples() * 4)));
+            put(buffer, offset + 11, 1, Math.round(report.suspicion() * MAX_BYTE));
+            put(buffer, offset + 12, 1, Math.min(MAX_BYTE, Math.round(report.evidence() * 8)));
+            put(buffer, offset + 13, 2, Math.min(2 * LOG_OFFSET - 1, report.age() / AGE_UNIT));
+            offset += REPORT_BYTES;
         }
-        return to;
+        return buffer;
     }
 
-    /** Empty for what is not a digest of this version. */
-    public static Optional<Digest> of(byte[] from) {
-        if (from.length < HEAD || get(from, 0, 2) != MARK || get(from, 2, 1) != VERSION
-                || from.length != HEAD + EACH * get(from, 3, 1) || get(from, 3, 1) > MOST) {
+    /** Empty if the datagram is not a digest of this version. */
+    public static Optional<Digest> decode(byte[] datagram) {
+        if (datagram.length < HEADER_BYTES || get(datagram, 0, 2) != MAGIC || get(datagram, 2, 1) != VERSION
+                || datagram.length != HEADER_BYTES + REPORT_BYTES * get(datagram, 3, 1)
+                || get(datagram, 3, 1) > MAX_REPORTS) {
             return Optional.empty();
         }
-        var tales = new ArrayList<Tale>();
-        for (int at = HEAD; at < from.length; at += EACH) {
-            tales.add(new Tale((int) get(from, at, 4), get(from, at + 4, 2) / 4.0, number(from, at + 6),
-                    number(from, at + 8), get(from, at + 10, 1) / 4.0, get(from, at + 11, 1) / (double) BYTE,
-                    get(from, at + 12, 1) / 8.0, get(from, at + 13, 2) * AGE_UNIT));
+        var reports = new ArrayList<WorkerReport>();
+        for (int offset = HEADER_BYTES; offset < datagram.length; offset += REPORT_BYTES) {
+            reports.add(new WorkerReport((int) get(datagram, offset, 4), get(datagram, offset + 4, 2) / 4.0,
+                    decodeLog(datagram, offset + 6),
+                    decodeLog(datagram, offset + 8), get(datagram, offset + 10, 1) / 4.0,
+                    get(datagram, offset + 11, 1) / (double) MAX_BYTE,
+                    get(datagram, offset + 12, 1) / 8.0, get(datagram, offset + 13, 2) * AGE_UNIT));
         }
-        var echo = get(from, 40, 8) == NO_ECHO ? null
-                : new Echo(get(from, 32, 8), get(from, 40, 8), get(from, 48, 8));
-        return Optional.of(new Digest((int) get(from, 4, 4), get(from, 8, 8), get(from, 16, 8),
-                get(from, 24, 8), echo, tales));
+        var echo = get(datagram, 40, 8) == NO_ECHO ? null
+                : new Echo(get(datagram, 32, 8), get(datagram, 40, 8), get(datagram, 48, 8));
+        return Optional.of(new Digest((int) get(datagram, 4, 4), get(datagram, 8, 8), get(datagram, 16, 8),
+                get(datagram, 24, 8), echo, reports));
     }
 
-    private static long log(double value) {
+    private static long encodeLog(double value) {
         return value <= 0 ? 0
-                : Math.max(1, Math.min(2 * MIDDLE - 1, MIDDLE + Math.round(THOUSANDTHS * Math.log(value))));
+                : Math.max(1,
+                Math.min(2 * LOG_OFFSET - 1, LOG_OFFSET + Math.round(THOUSANDTHS * Math.log(value))));
     }
 
-    private static double number(byte[] from, int at) {
-        long code = get(from, at, 2);
-        return code == 0 ? 0 : Math.exp((code - MIDDLE) / THOUSANDTHS);
+    private static double decodeLog(byte[] buffer, int offset) {
+        long code = get(buffer, offset, 2);
+        return code == 0 ? 0 : Math.exp((code - LOG_OFFSET) / THOUSANDTHS);
     }
 
-    private static void put(byte[] to, int at, int length, long value) {
+    private static void put(byte[] buffer, int offset, int length, long value) {
         for (int i = 0; i < length; i++) {
-            to[at + i] = (byte) (value >> 8 * (length - 1 - i));
+            buffer[offset + i] = (byte) (value >> 8 * (length - 1 - i));
         }
     }
 
-    private static long get(byte[] from, int at, int length) {
+    private static long get(byte[] buffer, int offset, int length) {
         long value = 0;
         for (int i = 0; i < length; i++) {
-            value = value << 8 | from[at + i] & BYTE;
+            value = value << 8 | buffer[offset + i] & MAX_BYTE;
         }
         return value;
     }
--- a/decisions/src/main/java/ryemast/fleet/signals/Echo.java
+++ b/decisions/src/main/java/ryemast/fleet/signals/Echo.java
@@ -1,11 +1,11 @@
 package ryemast.fleet.signals;
 
 /**
- * What a member has to answer to one peer, for that peer alone: its last digest, and when that came.
+ * Acknowledges the last digest received from one peer: the timestamps of an exchange as in NTP.
  *
- * @param process  the mark of the peer's process that was heard last
- * @param sent     when it sent that digest, on its own clock, as it said there (T1 of RFC 5905)
- * @param came     when that came here, on the clock of the member that answers (T2)
+ * @param process     ID of the peer's process that sent the digest
+ * @param sentAt      when it was sent, on that process's clock, as stated in the digest (T1 of RFC 5905)
+ * @param receivedAt  when it was received, on the clock of the member that echoes (T2)
  */
-public record Echo(long process, long sent, long came) {
+public record Echo(long process, long sentAt, long receivedAt) {
 }
--- a/decisions/src/main/java/ryemast/fleet/signals/Peer.java
+++ b/decisions/src/main/java/ryemast/fleet/signals/Peer.java
@@ -6,147 +6,153 @@
 import java.util.function.Predicate;
 
 /**
- * What one peer has told: the last tale of each worker, from one process. It is as old as its sending, which
- * {@link Timing} tells, so that a peer that has not answered us has no say; silence goes by what comes here.
- * Bounded: as many tales as a member may tell of, and a few marks of processes that are past.
+ * State of one peer: the last report on each worker, all from one process of the peer. The age of a report
+ * counts from its sending, which {@link PeerClock} estimates, so reports of a peer that has not echoed a
+ * digest of this process are not used; silence counts from receipt. Memory is bounded: one report per
+ * worker up to a limit, and a few IDs of former processes.
  */
 final class Peer {
 
-    /** For so long a peer that told what can't be has no say. */
-    static final long NO_SAY = 10_000_000;
-    /** One that is silent for longer than this has none until it is heard again. */
-    static final long SILENT = 3_000_000;
-    /** Datagrams overtake each other by less; beyond, old ones are being played again. */
-    static final long OVERTAKEN = 64;
-    /** A new process of a peer is believed when the former has been silent for so long. */
-    static final long NEXT_PROCESS = 500_000;
-    /** A tale that was not told again for so long says nothing of jobs (periods of refreshing, one lost). */
-    static final long OLD_TALE = 5 * Teller.REFRESH / 2;
-    private static final int MOST_TALES = 10_000;
-    private static final int PAST = 8;
-    private static final long NONE = -1;
-
-    /** A tale that was sent at a time of the peer's clock and came at one of ours. */
-    private record Heard(Tale tale, long sent, long came) {
+    /** How long a peer's reports are ignored after it has sent an implausible or replayed digest. */
+    static final long SUSPENSION = 10_000_000;
+    /** A peer that is silent for longer is not trusted until it is heard again. */
+    static final long SILENCE_LIMIT = 3_000_000;
+    /** Largest sequence gap that datagram reordering explains; older digests count as replayed. */
+    static final long REORDER_WINDOW = 64;
+    /** A new process of a peer is accepted once the former one has been silent for this long. */
+    static final long TAKEOVER_DELAY = 500_000;
+    /** The load in a report not refreshed for 2.5 intervals is ignored, so that one datagram may be lost. */
+    static final long LOAD_EXPIRY = 5 * DigestBuilder.REFRESH_INTERVAL / 2;
+    private static final int MAX_REPORTS = 10_000;
+    private static final int MAX_PAST_PROCESSES = 8;
+    private static final long NO_TIME = -1;
+
+    /** A report with its send time on the peer's clock and its receive time on ours. */
+    private record ReceivedReport(WorkerReport report, long sentAt, long receivedAt) {
     }
 
-    /** Processes that had the place before, each with the last that was heard of it. */
-    private final Map<Long, Long> past = new LinkedHashMap<>();
-    private final Map<Integer, Heard> tales = new HashMap<>();
+    /** Former processes of the peer, each with the last sequence number received. */
+    private final Map<Long, Long> pastProcesses = new LinkedHashMap<>();
+    private final Map<Integer, ReceivedReport> reports = new HashMap<>();
     private long process;
     private long sequence;
     private boolean known;
     private int member;
-    /** Of the last digest: when it was sent, on the peer's clock, or {@link #NONE}, and came, on ours. */
-    private long sentAt;
-    private long heardAt;
-    private Timing timing = new Timing();
-    private long noSayUntil = Long.MIN_VALUE;
-
-    boolean isMember(int code) {
-        return known && member == code;
+    /** Of the last digest: send time on the peer's clock, or {@link #NO_TIME}, and receive time on ours. */
+    private long lastSentAt;
+    private long lastReceivedAt;
+    private PeerClock clock = new PeerClock();
+    private long suspendedUntil = Long.MIN_VALUE;
+
+    boolean isMember(int nameHash) {
+        return known && member == nameHash;
     }
 
-    /** What it is to be told of its own last digest; null if none has come. */
+    /** The echo of the peer's last digest; null if none has been received. */
     Echo echo() {
-        return known && sentAt != NONE ? new Echo(process, sentAt, heardAt) : null;
+        return known && lastSentAt != NO_TIME ? new Echo(process, lastSentAt, lastReceivedAt) : null;
     }
 
-    /** Null if it was taken; {@code self}: the mark of our own process. */
-    Refused hear(long now, long self, Digest digest, Predicate<Tale> possible) {
-        if (digest.sequence() <= past.getOrDefault(digest.process(), Long.MIN_VALUE)
-                || past.containsKey(digest.process()) && now - heardAt <= SILENT) {
-            return Refused.PAST_PROCESS;
+    /** Returns null if the digest was accepted; {@code ownProcess} is the ID of our own process. */
+    DigestRejection receive(long now, long ownProcess, Digest digest, Predicate<WorkerReport> plausible) {
+        if (digest.sequence() <= pastProcesses.getOrDefault(digest.process(), Long.MIN_VALUE)
+                || pastProcesses.containsKey(digest.process()) && now - lastReceivedAt <= SILENCE_LIMIT) {
+            return DigestRejection.ENDED_PROCESS;
         }
         if (!known || digest.process() != process) {
-            if (known && now - heardAt < NEXT_PROCESS) {
-                return Refused.NOT_IN_FLEET;
+            if (known && now - lastReceivedAt < TAKEOVER_DELAY) {
+                return DigestRejection.UNKNOWN_SENDER;
             }
-            begin(digest);
+            startProcess(digest);
         }
         long behind = sequence - digest.sequence();
         if (behind >= 0) {
-            return behind <= OVERTAKEN ? Refused.LATE : lost(now, Refused.WENT_BACK);
+            return behind <= REORDER_WINDOW ? DigestRejection.DUPLICATE_OR_LATE
+                    : suspend(now, DigestRejection.REPLAYED);
         }
-        if (digest.sent() < sentAt || !timing.take(now, self, digest)
-                || !digest.tales().stream().allMatch(possible)) {
-            return lost(now, Refused.IMPOSSIBLE);
+        if (digest.sentAt() < lastSentAt || !clock.accept(now, ownProcess, digest)
+                || !digest.reports().stream().allMatch(plausible)) {
+            return suspend(now, DigestRejection.IMPLAUSIBLE);
         }
         sequence = digest.sequence();
-        sentAt = digest.sent();
-        heardAt = now;
-        if (now < noSayUntil) {
-            return Refused.NO_SAY;
+        lastSentAt = digest.sentAt();
+        lastReceivedAt = now;
+        if (now < suspendedUntil) {
+            return DigestRejection.SUSPENDED;
         }
-        for (var tale : digest.tales()) {
-            if (tales.size() < MOST_TALES || tales.containsKey(tale.code())) {
-                tales.put(tale.code(), new Heard(tale, sentAt, now));
+        for (var report : digest.reports()) {
+            if (reports.size() < MAX_REPORTS || reports.containsKey(report.nameHash())) {
+                reports.put(report.nameHash(), new ReceivedReport(report, lastSentAt, now));
             }
         }
         return null;
     }
 
-    private void begin(Digest digest) {
-        past.remove(digest.process());
+    private void startProcess(Digest digest) {
+        pastProcesses.remove(digest.process());
         if (known) {
-            past.put(process, sequence);
-            if (past.size() > PAST) {
-                past.remove(past.keySet().iterator().next());
+            pastProcesses.put(process, sequence);
+            if (pastProcesses.size() > MAX_PAST_PROCESSES) {
+                pastProcesses.remove(pastProcesses.keySet().iterator().next());
             }
         }
         known = true;
         member = digest.member();
         process = digest.process();
         sequence = digest.sequence() - 1;
-        sentAt = NONE;
-        timing = new Timing();
-        tales.clear();
+        lastSentAt = NO_TIME;
+        clock = new PeerClock();
+        reports.clear();
     }
 
-    private Refused lost(long now, Refused why) {
-        noSayUntil = now + NO_SAY;
-        tales.clear();
-        return why;
+    private DigestRejection suspend(long now, DigestRejection rejection) {
+        suspendedUntil = now + SUSPENSION;
+        reports.clear();
+        return rejection;
     }
 
-    boolean hasSay(long now) {
-        return timing.isKnown() && now >= noSayUntil && now - heardAt <= SILENT;
+    boolean isTrusted(long now) {
+        return clock.isKnown() && now >= suspendedUntil && now - lastReceivedAt <= SILENCE_LIMIT;
     }
 
-    /** To be called each period: what is too old even for an opinion is dropped. */
-    void forget(long now) {
-        tales.values().removeIf(each -> now - each.came > NO_SAY);
+    /** To be called each period: drops reports that are too old even for speed and suspicion. */
+    void expire(long now) {
+        reports.values().removeIf(each -> now - each.receivedAt > SUSPENSION);
     }
 
-    /** Its last of a worker, or null; this and what follows only while it {@link #hasSay}. */
-    Tale tale(int code) {
-        var heard = tales.get(code);
-        return heard == null ? null : heard.tale;
+    /**
+     * The last report on a worker, or null; this and the methods below are valid only while
+     * {@link #isTrusted}.
+     */
+    WorkerReport report(int nameHash) {
+        var received = reports.get(nameHash);
+        return received == null ? null : received.report;
     }
 
-    /** When that was so at the earliest, on our clock. */
-    long at(int code) {
-        var heard = tales.get(code);
-        return at(heard.sent, heard.came);
+    /** The earliest time, on our clock, at which the report can have been sent. */
+    long earliestTime(int nameHash) {
+        var received = reports.get(nameHash);
+        return earliestTime(received.sentAt, received.receivedAt);
     }
 
-    private long at(long sent, long came) {
-        return Math.min(came, timing.at(sent));
+    private long earliestTime(long sentAt, long receivedAt) {
+        return Math.min(receivedAt, clock.earliestSendTime(sentAt));
     }
 
-    /** How much of the jobs in its last of a worker is still believed to be there, from 0 to 1. */
-    double held(int code, long now) {
-        return held(tales.get(code), now);
+    /** Weight, from 0 to 1, of the jobs in the last report on a worker. */
+    double loadWeight(int nameHash, long now) {
+        return loadWeight(reports.get(nameHash), now);
     }
 
-    /** What has changed would have been told since, up to its last digest. */
-    private double held(Heard each, long now) {
-        return now - at(each.sent, each.came) > OLD_TALE ? 0
-                : Borrowed.faded(now - at(sentAt, heardAt), Borrowed.HELD_SECONDS);
+    /** A report stays valid up to the last digest, as changes would have been reported since. */
+    private double loadWeight(ReceivedReport received, long now) {
+        return now - earliestTime(received.sentAt, received.receivedAt) > LOAD_EXPIRY ? 0
+                : Borrowed.decay(now - earliestTime(lastSentAt, lastReceivedAt), Borrowed.LOAD_DECAY_SECONDS);
     }
 
-    /** Slots that it claims to hold, over all workers. */
-    double total(long now) {
-        return tales.values().stream().mapToDouble(each -> each.tale.jobs() * held(each, now)).sum();
+    /** Slots that the peer's jobs take by its reports, over all workers, weighted by age. */
+    double totalJobs(long now) {
+        return reports.values().stream().mapToDouble(each -> each.report.jobs() * loadWeight(each, now))
+                .sum();
     }
 }
--- a/decisions/src/main/java/ryemast/fleet/signals/package-info.java
+++ b/decisions/src/main/java/ryemast/fleet/signals/package-info.java
@@ -1,2 +1,2 @@
-/** What members of a fleet tell each other of workers, and what of it is believed. No I/O, no clock. */
+/** Gossip of load and health reports on workers between fleet members, and its merging. No I/O, no clock. */
 package ryemast.fleet.signals;
--- a/decisions/src/main/java/ryemast/move/Load.java
+++ b/decisions/src/main/java/ryemast/move/Load.java
@@ -1,10 +1,10 @@
 package ryemast.move;
 
 /**
- * What is moved. A move of another load is another move.
+ * What is migrated. A migration of another load is another migration.
  *
  * @param perSecond  the whole reservation, work a second; 0: the service has none
- * @param revision   of the source's timetable and reservations, as the target must have caught up with it
+ * @param revision   of the source's schedule and reservations, up to which the target must have caught up
  */
 public record Load(long perSecond, long revision) {
 
@@ -12,7 +12,8 @@
 
     public Load {
         if (perSecond < 0 || revision < 0) {
-            throw new IllegalArgumentException("a load of " + perSecond + " a second, revision " + revision);
+            throw new IllegalArgumentException("invalid load: " + perSecond + " a second, revision "
+                    + revision);
         }
     }
 }
--- a/decisions/src/main/java/ryemast/move/Phase.java
+++ b/decisions/src/main/java/ryemast/move/Phase.java
@@ -1,40 +1,43 @@
 package ryemast.move;
 
-/** What a site's record says of a service. The first six are of a site that has it or had it last. */
+/**
+ * The state of a service in a site's record. The first six are of a site that has the service or had it
+ * last.
+ */
 public enum Phase {
-    /** Here, and on no move. */
-    HOME(true, false),
-    /** Here; room is asked for at the other site. */
-    ASKED(true, false),
-    /** Here; all is ready there, and no fire beyond the closing moment is claimed any more. */
+    /** Served here, and not migrating. */
+    LOCAL(true, false),
+    /** Served here; capacity is requested from the other site. */
+    REQUESTED(true, false),
+    /** Served here; the target is ready, and no execution beyond the closing bound is claimed any more. */
     CLOSING(true, false),
-    /** Here; the last move was called off. No such move can be closed any more. */
-    CALLED_OFF(true, false),
-    /** The point of no return: the service is the other site's; what is in hand here ends here. */
+    /** Served here; the last migration was aborted and can't be closed any more. */
+    ABORTED(true, false),
+    /** The commit point: the service belongs to the other site; what is running here ends here. */
     CLOSED(false, false),
-    /** The other site has opened, and nothing is in hand here. */
-    AWAY(false, false),
+    /** The other site has opened, and nothing is running here. */
+    DEPARTED(false, false),
     /** Never here, or no longer in the records. */
     NONE(false, false),
-    /** Room is held here; the timetable's entries, bodies and ends are being fetched. */
-    HELD(false, true),
-    /** Room is held, and the source may close. */
+    /** Capacity is reserved here; job definitions, bodies and outcomes are being fetched. */
+    RESERVED(false, true),
+    /** Capacity is reserved, and the source may close. */
     READY(false, true),
-    /** Held until the source's word is read again; the source is not to close, and may have done so. */
-    GIVING_UP(false, true),
-    /** The source has called off, or there was no room: nothing is held. */
-    FREED(false, false),
-    /** The source was seen to be closed: the service is this site's, and not yet served. */
-    TAKEN(false, true),
-    /** Served here; the source still has jobs of it in hand. */
+    /** Reserved until the source's record is read again; the source must not close, and may have done so. */
+    RELEASING(false, true),
+    /** The source has aborted, or there was no capacity: nothing is reserved. */
+    RELEASED(false, false),
+    /** The source was read as closed: the service belongs to this site, and is not served yet. */
+    ACQUIRED(false, true),
+    /** Served here; the source still has attempts of it running. */
     OPEN(true, false);
 
     private final boolean active;
-    private final boolean holding;
+    private final boolean reserved;
 
     Phase(boolean active, boolean holding) {
         this.active = active;
-        this.holding = holding;
+        this.reserved = holding;
     }
 
     /** The service's reservation is active at this site. */
@@ -42,28 +45,28 @@
         return active;
     }
 
-    /** Its room is promised to nobody else at this site, and not used yet. */
-    public boolean holding() {
-        return holding;
+    /** Its capacity is reserved at this site, and not used yet. */
+    public boolean reserved() {
+        return reserved;
     }
 
-    /** Of a move that can't be closed any more, as it is closed. */
+    /** Of a source whose migration is closed and can't be aborted any more. */
     boolean closed() {
-        return this == CLOSED || this == AWAY;
+        return this == CLOSED || this == DEPARTED;
     }
 
-    /** The source still serves, and asks. */
-    boolean asking() {
-        return this == ASKED || this == CLOSING;
+    /** Of a source that still serves and requests a migration. */
+    boolean requesting() {
+        return this == REQUESTED || this == CLOSING;
     }
 
-    /** Of a target that has not seen the source closed: it proves nothing of where the service is. */
-    boolean waiting() {
-        return this == NONE || this == HELD || this == READY || this == GIVING_UP || this == FREED;
+    /** Of a target that has not read the source as closed: it proves nothing about where the service is. */
+    boolean beforeClose() {
+        return this == NONE || this == RESERVED || this == READY || this == RELEASING || this == RELEASED;
     }
 
-    /** Of a target that has seen the source closed. */
-    boolean arrived() {
-        return this == TAKEN || this == OPEN || this == HOME;
+    /** Of a target that has read the source as closed. */
+    boolean acquired() {
+        return this == ACQUIRED || this == OPEN || this == LOCAL;
     }
 }
--- a/decisions/src/main/java/ryemast/move/Source.java
+++ b/decisions/src/main/java/ryemast/move/Source.java
@@ -1,121 +1,138 @@
 package ryemast.move;
 
-import ryemast.move.Next.Room;
-import ryemast.move.Next.Wait;
+import ryemast.move.Decision.Reservation;
+import ryemast.move.Decision.Wait;
 
 /**
- * The side that has the service. Guarantees that it closes only under the target's word that room is held and
- * all is ready, and with every claimed fire up to the closing moment; and that it follows a target that was
- * seen to have taken the service, whatever its own record says.
+ * The side that has the service. Guarantees that it closes only if the target's record says that capacity
+ * is reserved and all data has arrived, and with every claimed execution up to the closing bound; and that
+ * it follows a target that is known to have acquired the service, whatever its own record says.
  */
 final class Source {
 
     private Source() {
     }
 
-    static Next next(Here here, Sight own, Sight other) {
-        var side = own.side();
-        var there = other.side();
-        return switch (side.phase()) {
-            case ASKED, CLOSING -> asking(here, own, other);
-            case CLOSED -> closed(here, own, there);
-            case OPEN -> there.epoch() == side.epoch() && there.phase() == Phase.AWAY && here.carried()
-                    ? Mover.step(own, side.settled(), Room.SAME, "the source has nothing in hand")
-                    : new Wait("the source has jobs of it in hand, or their ends are not here");
-            default -> atRest(here, own, other);
+    static Decision next(MigrationContext context, RecordReading own, RecordReading other) {
+        var record = own.record();
+        var peer = other.record();
+        return switch (record.phase()) {
+            case REQUESTED, CLOSING -> requesting(context, own, other);
+            case CLOSED -> closed(context, own, peer);
+            case OPEN -> peer.epoch() == record.epoch() && peer.phase() == Phase.DEPARTED
+                    && context.handoverComplete()
+                    ? MigrationCoordinator.write(own, record.completed(), Reservation.UNCHANGED,
+                    "the source has nothing running")
+                    : new Wait("the source has attempts running, or outcomes have not arrived");
+            default -> idle(context, own, other);
         };
     }
 
-    private static Next atRest(Here here, Sight own, Sight other) {
-        var wanted = here.wanted();
-        if (wanted == null || !here.mayAsk()) {
-            return new Wait(wanted == null ? "no move is wanted" : "the next try is not due");
+    private static Decision idle(MigrationContext context, RecordReading own, RecordReading other) {
+        var request = context.request();
+        if (request == null || !context.mayStart()) {
+            return new Wait(request == null ? "no migration is requested"
+                    : "the next attempt to migrate is not due");
         }
-        if (!Mover.isChecked(here, other)) {
-            return new Wait("the other site's record was not read since this site's may have been set back");
+        if (!MigrationCoordinator.isReadSinceKnown(context, other)) {
+            return new Wait("the other site's record was not read since this site's may have been restored");
         }
-        long epoch = Math.max(own.side().epoch(), other.side().epoch()) + 1;
-        var asked = new Side(epoch, Phase.ASKED, wanted.site(), wanted.load(), own.side().after(), Side.ALL,
-                true, here.settle());
-        return Mover.step(own, asked, Room.SAME, "a move is wanted");
+        long epoch = Math.max(own.record().epoch(), other.record().epoch()) + 1;
+        var requested = new SiteRecord(epoch, Phase.REQUESTED, request.site(), request.load(),
+                own.record().scheduledAfter(), SiteRecord.UNBOUNDED,
+                true, context.settleTime());
+        return MigrationCoordinator.write(own, requested, Reservation.UNCHANGED, "a migration is requested");
     }
 
-    private static Next asking(Here here, Sight own, Sight other) {
-        var side = own.side();
-        var there = other.side();
-        var wanted = here.wanted();
-        if (wanted == null || !wanted.site().equals(side.other()) || !wanted.load().equals(side.load())) {
-            return callOff(here, own, side.epoch(), "this move is not wanted any more");
+    private static Decision requesting(MigrationContext context, RecordReading own, RecordReading other) {
+        var record = own.record();
+        var peer = other.record();
+        var request = context.request();
+        if (request == null || !request.site().equals(record.peerSite())
+                || !request.load().equals(record.load())) {
+            return abort(context, own, record.epoch(), "this migration is no longer requested");
         }
-        if (there.epoch() == side.epoch()
-                && (there.phase() == Phase.FREED || there.phase() == Phase.GIVING_UP)) {
-            return callOff(here, own, side.epoch(), "the target has no room");
+        if (peer.epoch() == record.epoch()
+                && (peer.phase() == Phase.RELEASED || peer.phase() == Phase.RELEASING)) {
+            return abort(context, own, record.epoch(), "the target has no capacity");
         }
-        boolean ready = there.epoch() == side.epoch() && there.phase() == Phase.READY
-                && there.load().equals(side.load());
-        if (!ready || !Mover.isChecked(here, other)) {
-            return new Wait("the target is not ready, or can't be read");
+        boolean ready = peer.epoch() == record.epoch() && peer.phase() == Phase.READY
+                && peer.load().equals(record.load());
+        if (!ready || !MigrationCoordinator.isReadSinceKnown(context, other)) {
+            return new Wait("the target is not ready, or its record was not read");
         }
-        if (here.claimedAt() != own.version()) {
-            return new Wait("the entries' marks were not read since this site's record is as it is");
+        if (context.claimedAtVersion() != own.version()) {
+            return new Wait("the jobs' watermarks were not read at this site's present record version");
         }
-        if (side.phase() == Phase.ASKED || here.highestClaimed() > side.upTo()) {
-            // No later fire is claimed under that record, so the next look finds none beyond it.
-            return Mover.step(own, side.upTo(Phase.CLOSING, here.highestClaimed()), Room.SAME,
+        if (record.phase() == Phase.REQUESTED || context.latestClaimed() > record.scheduledUpTo()) {
+            // No later execution is claimed under that record, so the next check finds none beyond it.
+            return MigrationCoordinator.write(own, record.bounded(Phase.CLOSING, context.latestClaimed()),
+                    Reservation.UNCHANGED,
                     "the target is ready");
         }
-        return Mover.step(own, side.to(Phase.CLOSED), Room.GIVE_UP, "no claimed fire is later");
+        return MigrationCoordinator.write(own, record.withPhase(Phase.CLOSED), Reservation.RELEASE,
+                "no claimed execution is later");
     }
 
-    private static Next closed(Here here, Sight own, Side there) {
-        var side = own.side();
-        boolean open = there.epoch() > side.epoch() ? !there.phase().waiting()
-                : there.epoch() == side.epoch() && there.phase().arrived() && there.phase() != Phase.TAKEN;
-        // Open there: nobody here acts by an older reading any more.
-        return open && here.inHand() == 0
-                ? Mover.step(own, side.to(Phase.AWAY), Room.SAME, "open there, and nothing is in hand here")
-                : new Wait(open ? here.inHand() + " jobs are in hand" : "the target has not opened");
+    private static Decision closed(MigrationContext context, RecordReading own, SiteRecord peer) {
+        var record = own.record();
+        boolean open = peer.epoch() > record.epoch() ? !peer.phase().beforeClose()
+                : peer.epoch() == record.epoch() && peer.phase().acquired() && peer.phase() != Phase.ACQUIRED;
+        // If it is open there, no process here acts on an older reading any more.
+        return open && context.unfinished() == 0
+                ? MigrationCoordinator.write(own, record.withPhase(Phase.DEPARTED), Reservation.UNCHANGED,
+                "open at the target, and nothing is running here")
+                : new Wait(open ? context.unfinished() + " attempts are running here"
+                : "the target has not opened");
     }
 
-    private static Next callOff(Here here, Sight own, long epoch, String why) {
-        var side = own.side();
-        return Mover.step(own, new Side(epoch, Phase.CALLED_OFF, here.peer(), side.load(), side.after(),
-                Side.ALL, true, side.settle()), Room.SAME, why);
+    private static Decision abort(MigrationContext context, RecordReading own, long epoch, String reason) {
+        var record = own.record();
+        return MigrationCoordinator.write(own,
+                new SiteRecord(epoch, Phase.ABORTED, context.peerSite(), record.load(),
+                record.scheduledAfter(),
+                SiteRecord.UNBOUNDED, true, record.settleTime()), Reservation.UNCHANGED, reason);
     }
 
     /**
-     * The record was put back from before a move that the other site knows of and has not taken. Nobody has
-     * closed it as far as that site will ever open, and from this step on nobody can.
+     * The record was restored from before a migration that the other site knows of and has not acquired. No
+     * process has closed it in a way on which that site will ever open, and from this step on none can.
      */
-    static Next forgotten(Here here, Sight own, Sight other) {
-        var side = own.side();
-        var there = other.side();
-        if (side.phase().active()) {
-            return callOff(here, own, there.epoch(), "this site's record was put back from before the move");
+    static Decision recoverRequest(MigrationContext context, RecordReading own, RecordReading other) {
+        var record = own.record();
+        var peer = other.record();
+        if (record.phase().active()) {
+            return abort(context, own, peer.epoch(),
+                    "this site's record was restored from before the migration");
         }
-        if (!Mover.isChecked(here, other) || !here.fits()) {
-            return new Wait("this site's record was put back; room is lacking, or the other site's record");
+        if (!MigrationCoordinator.isReadSinceKnown(context, other) || !context.hasCapacity()) {
+            return new Wait("this site's record was restored; it lacks capacity or the other's record");
         }
-        return Mover.step(own, new Side(there.epoch(), Phase.CALLED_OFF, here.peer(), there.load(),
-                there.upTo(), Side.ALL, true, here.settle()), Room.GRANT,
+        return MigrationCoordinator.write(own,
+                new SiteRecord(peer.epoch(), Phase.ABORTED, context.peerSite(), peer.load(),
+                peer.scheduledUpTo(), SiteRecord.UNBOUNDED, true, context.settleTime()), Reservation.GRANT,
                 "this site has the service by the other site's record");
     }
 
     /**
-     * The record was put back from before the closing. Fires that were claimed since are this site's as well,
-     * so it goes by way of a bound on claims again.
+     * The record was restored from before the closing. Executions claimed since belong to this site as
+     * well, so the upper bound on claims is set again first.
      */
-    static Next putRight(Here here, Sight own, Side there) {
-        var side = own.side();
-        if (here.claimedAt() != own.version()) {
-            return new Wait("the entries' marks were not read since this site's record is as it is");
+    static Decision repair(MigrationContext context, RecordReading own, SiteRecord peer) {
+        var record = own.record();
+        if (context.claimedAtVersion() != own.version()) {
+            return new Wait("the jobs' watermarks were not read at this site's present record version");
         }
-        long epoch = there.phase().arrived() ? there.epoch() : there.epoch() - 1;
-        long upTo = Math.max(there.after(), here.highestClaimed());
-        boolean bounded = !side.phase().active() || side.phase() == Phase.CLOSING && side.upTo() >= upTo;
-        var right = new Side(epoch, bounded ? Phase.CLOSED : Phase.CLOSING, here.peer(), there.load(),
-                side.after(), bounded && side.phase().active() ? side.upTo() : upTo, false, here.settle());
-        return Mover.step(own, right, bounded ? Room.GIVE_UP : Room.SAME,
+        long epoch = peer.phase().acquired() ? peer.epoch() : peer.epoch() - 1;
+        long upTo = Math.max(peer.scheduledAfter(), context.latestClaimed());
+        boolean bounded = !record.phase().active()
+                || record.phase() == Phase.CLOSING && record.scheduledUpTo() >= upTo;
+        var repaired = new SiteRecord(epoch, bounded ? Phase.CLOSED : Phase.CLOSING, context.peerSite(),
+                peer.load(),
+                record.scheduledAfter(), bounded && record.phase().active() ? record.scheduledUpTo() : upTo,
+                false, context.settleTime());
+        return MigrationCoordinator.write(own, repaired,
+                bounded ? Reservation.RELEASE : Reservation.UNCHANGED,
                 "the other site's record proves that the service has left");
     }
 }
--- a/decisions/src/main/java/ryemast/move/Target.java
+++ b/decisions/src/main/java/ryemast/move/Target.java
@@ -1,81 +1,94 @@
 package ryemast.move;
 
-import ryemast.move.Next.Room;
-import ryemast.move.Next.Wait;
+import ryemast.move.Decision.Reservation;
+import ryemast.move.Decision.Wait;
 
 /**
- * The side that gets the service. Guarantees that it holds the room from its word on until the source's word
- * frees it or it opens; and that it opens only when nobody at the source acts by an older record any more.
+ * The side that gets the service. Guarantees that once its record says so, capacity stays reserved until
+ * the source's record releases it or the target opens; and that it opens only when no process at the source
+ * acts on an older record any more.
  */
 final class Target {
 
     private Target() {
     }
 
-    static Next next(Here here, Sight own, Sight other) {
-        return switch (own.side().phase()) {
-            case HELD, READY, GIVING_UP -> holding(here, own, other);
-            case TAKEN -> taken(own, other);
-            default -> empty(here, own, other.side());
+    static Decision next(MigrationContext context, RecordReading own, RecordReading other) {
+        return switch (own.record().phase()) {
+            case RESERVED, READY, RELEASING -> reserving(context, own, other);
+            case ACQUIRED -> acquiring(own, other);
+            default -> idle(context, own, other.record());
         };
     }
 
-    private static Next empty(Here here, Sight own, Side there) {
-        boolean ours = there.other().equals(here.me()) && (there.phase().asking() || there.phase().closed());
-        boolean later = there.epoch() > own.side().epoch()
-                || there.epoch() == own.side().epoch() && there.phase().closed()
-                && own.side().phase() == Phase.FREED;
-        if (!ours || !later) {
-            return new Wait("nothing is to come here");
+    private static Decision idle(MigrationContext context, RecordReading own, SiteRecord peer) {
+        boolean forThisSite = peer.peerSite().equals(context.site())
+                && (peer.phase().requesting() || peer.phase().closed());
+        boolean newer = peer.epoch() > own.record().epoch()
+                || peer.epoch() == own.record().epoch() && peer.phase().closed()
+                && own.record().phase() == Phase.RELEASED;
+        if (!forThisSite || !newer) {
+            return new Wait("no service is migrating here");
         }
-        if (here.fits()) {
-            return Mover.step(own, from(here, own, there, Phase.HELD), Room.HOLD, "room is asked for");
+        if (context.hasCapacity()) {
+            return MigrationCoordinator.write(own, newRecord(context, own, peer, Phase.RESERVED),
+                    Reservation.RESERVE, "capacity is requested");
         }
-        return there.phase().closed() ? new Wait("the source has closed; the room was lost with the records")
-                : Mover.step(own, from(here, own, there, Phase.FREED), Room.SAME, "there is no room for it");
+        return peer.phase().closed()
+                ? new Wait("the source has closed; the reservation was lost with the records")
+                : MigrationCoordinator.write(own, newRecord(context, own, peer, Phase.RELEASED),
+                Reservation.UNCHANGED, "there is no capacity for it");
     }
 
-    private static Side from(Here here, Sight own, Side there, Phase phase) {
-        return new Side(there.epoch(), phase, here.peer(), there.load(), Side.FROM_THE_START,
-                own.side().upTo(), true, there.settle());
+    private static SiteRecord newRecord(MigrationContext context, RecordReading own, SiteRecord peer,
+            Phase phase) {
+        return new SiteRecord(peer.epoch(), phase, context.peerSite(), peer.load(), SiteRecord.FROM_START,
+                own.record().scheduledUpTo(), true, peer.settleTime());
     }
 
-    private static Next holding(Here here, Sight own, Sight other) {
-        var side = own.side();
-        var there = other.side();
-        if (there.epoch() == side.epoch() && there.phase().closed()) {
-            var taken = new Side(side.epoch(), Phase.TAKEN, side.other(), side.load(), there.upTo(), Side.ALL,
-                    there.exact(), side.settle());
-            return Mover.step(own, taken, Room.SAME, "the source has closed");
+    private static Decision reserving(MigrationContext context, RecordReading own, RecordReading other) {
+        var record = own.record();
+        var peer = other.record();
+        if (peer.epoch() == record.epoch() && peer.phase().closed()) {
+            var acquired = new SiteRecord(record.epoch(), Phase.ACQUIRED, record.peerSite(), record.load(),
+                    peer.scheduledUpTo(), SiteRecord.UNBOUNDED,
+                    peer.watermarksExact(), record.settleTime());
+            return MigrationCoordinator.write(own, acquired, Reservation.UNCHANGED, "the source has closed");
         }
-        boolean off = side.isCalledOffBy(there, here.me());
-        if (side.phase() == Phase.GIVING_UP) {
-            return off && other.isAfter(own)
-                    ? Mover.step(own, side.to(Phase.FREED), Room.GIVE_UP, "the source has called off")
-                    : new Wait("held until the source's word is read: it may still close");
+        boolean aborted = record.isAbortedBy(peer, context.site());
+        if (record.phase() == Phase.RELEASING) {
+            return aborted && other.isReadAfter(own)
+                    ? MigrationCoordinator.write(own, record.withPhase(Phase.RELEASED), Reservation.RELEASE,
+                    "the source has aborted")
+                    : new Wait("reserved until the source's record is read: it may still close");
         }
-        if (off || !here.fits() || there.epoch() == side.epoch() && !there.load().equals(side.load())) {
-            return Mover.step(own, side.to(Phase.GIVING_UP), Room.SAME,
-                    off ? "the source has called off" : "there is no room for it any more");
+        if (aborted || !context.hasCapacity()
+                || peer.epoch() == record.epoch() && !peer.load().equals(record.load())) {
+            return MigrationCoordinator.write(own, record.withPhase(Phase.RELEASING), Reservation.UNCHANGED,
+                    aborted ? "the source has aborted" : "there is no capacity for it any more");
         }
-        return side.phase() == Phase.HELD && here.caughtUp() && there.epoch() == side.epoch()
-                ? Mover.step(own, side.to(Phase.READY), Room.SAME, "all of it is here")
-                : new Wait(side.phase() == Phase.READY ? "the source has not closed" : "catching up");
+        return record.phase() == Phase.RESERVED && context.caughtUp() && peer.epoch() == record.epoch()
+                ? MigrationCoordinator.write(own, record.withPhase(Phase.READY), Reservation.UNCHANGED,
+                "all data has arrived")
+                : new Wait(record.phase() == Phase.READY ? "the source has not closed" : "catching up");
     }
 
-    private static Next taken(Sight own, Sight other) {
-        var side = own.side();
-        var there = other.side();
-        if (there.epoch() != side.epoch() || !there.phase().closed()) {
-            return there.epoch() > side.epoch() && !there.phase().waiting()
-                    ? Mover.step(own, side.to(Phase.GIVING_UP), Room.SAME,
-                            "the source's record was put back, and it has gone on without this move")
-                    : new Wait("the source's record was put back: it is to put that right");
+    private static Decision acquiring(RecordReading own, RecordReading other) {
+        var record = own.record();
+        var peer = other.record();
+        if (peer.epoch() != record.epoch() || !peer.phase().closed()) {
+            return peer.epoch() > record.epoch() && !peer.phase().beforeClose()
+                    ? MigrationCoordinator.write(own, record.withPhase(Phase.RELEASING),
+                    Reservation.UNCHANGED,
+                            "the source's record was restored, and it has continued without this migration")
+                    : new Wait("the source's record was restored: the source has to repair it");
         }
-        // Away: it has seen this site open, so nobody there acts by an older record.
-        long settledAt = there.phase() == Phase.AWAY ? other.since() : other.since() + there.settle();
-        return other.isAfter(own) && other.askedAt() >= settledAt
-                ? Mover.step(own, side.open(there), Room.GRANT, "nobody acts at the source any more")
-                : new Wait(settledAt, "the source's members may still act by what they read before");
+        // DEPARTED: it has read this site as open, so no process there acts on an older record.
+        long settledAt = peer.phase() == Phase.DEPARTED ? other.firstSeenAt()
+                : other.firstSeenAt() + peer.settleTime();
+        return other.isReadAfter(own) && other.requestedAt() >= settledAt
+                ? MigrationCoordinator.write(own, record.opened(peer), Reservation.GRANT,
+                "no process acts at the source any more")
+                : new Wait(settledAt, "the source's members may still act on older readings");
     }
 }
--- a/decisions/src/main/java/ryemast/move/package-info.java
+++ b/decisions/src/main/java/ryemast/move/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Moves of a running service from one site to another: what each side's record says, what each side does
- * next, and what it may promise and run meanwhile. No I/O, clocks or threads; docs/moves.md has the tables.
+ * Migration of a running service from one site to another: each side's record, what each side does next, and
+ * what it may reserve and run meanwhile. No I/O, clocks or threads; the tables are in docs/moves.md.
  */
 package ryemast.move;
--- a/decisions/src/test/java/pipitladder/PeersToldTest.java
+++ b/decisions/src/test/java/pipitladder/PeersToldTest.java
@@ -24,7 +24,7 @@
 import pipitladder.Dispatcher.WorkerInfo;
 import pipitladder.Dispatcher.WorkerList;
 import ryemast.fleet.signals.Borrowed;
-import ryemast.fleet.signals.Signals;
+import ryemast.fleet.signals.LoadGossip;
 
 /** What the policy makes of signals from peers. */
 class PeersToldTest {
@@ -36,7 +36,7 @@
         var random = new Random(seed);
         var brain = new Brain(Stage.settings(List.of(Stage.jobClass(Effect.REPEATABLE, KeyScope.ALL)),
                 List.of(), true, true, 3), seed);
-        var own = new Signals("self", 1, 2);
+        var own = new LoadGossip("self", 1, 2);
         var log = new ArrayList<String>();
         var timers = new ArrayList<SetTimer>();
         var sends = new ArrayList<Send>();
@@ -51,8 +51,8 @@
             now += 1 + random.nextInt(20_000);
             long at = now;
             if (signals && step % 10 == 0) {
-                assertEquals(1, own.tell(now, brain.beliefs(now)).get(0).size());
-                var borrowed = told == null ? own.borrowed(now) : told;
+                assertEquals(1, own.digests(now, brain.beliefs(now)).get(0).size());
+                var borrowed = told == null ? own.peerEstimates(now) : told;
                 brain.handle(now, new PeersTold(borrowed), actions::add);
             }
             for (var timer : timers.stream().filter(each -> each.dueAt() <= at).toList()) {
@@ -116,7 +116,8 @@
         long count = 0;
         for (int i = 0; i < 60; i++) {
             stage.tell(new PeersTold(of == null ? Map.of() : Map.of("a",
-                    new Borrowed(stage.now, of.jobs(), of.work(), of.logSpeed(), of.samples(), of.sick()))));
+                    new Borrowed(stage.now, of.jobs(), of.work(), of.logSpeed(), of.samples(),
+                    of.suspicion()))));
             count += "a".equals(stage.place(i)) ? 1 : 0;
             stage.serve(i);
         }
--- a/decisions/src/test/java/ryemast/DecisionsArePureTest.java
+++ b/decisions/src/test/java/ryemast/DecisionsArePureTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the module's dependencies can't say: decisions do no I/O and have no threads, clocks or chance of
- * their own, so that the same events give the same actions on any machine and in any simulated time.
+ * Decision modules do no I/O and use no threads, clocks or randomness of their own, so that the same events
+ * give the same actions on any machine and in simulated time. The module's dependencies alone can't enforce
+ * that.
  */
 class DecisionsArePureTest {
 
@@ -25,7 +26,7 @@
     }
 
     @Test
-    void noThreadsClocksOrChanceFromOutside() {
+    void noThreadsClocksOrExternalRandomness() {
         noClasses().should().dependOnClassesThat().haveFullyQualifiedName("java.util.Random")
                 .orShould().dependOnClassesThat().haveFullyQualifiedName("java.util.Timer")
                 .orShould().dependOnClassesThat().haveFullyQualifiedName("java.util.Date")
@@ -37,9 +38,9 @@
                 .orShould().callMethod(Math.class, "random").check(DECISIONS);
     }
 
-    /** The policy leans on no other decision module's inside, and nothing leans on the simulator's wire. */
+    /** The policy must not depend on the settings of a deployment. */
     @Test
-    void thePolicyKnowsNoDeployment() {
+    void policyDoesNotDependOnDeploymentSettings() {
         noClasses().that().resideInAPackage("pipitladder").should().dependOnClassesThat()
                 .resideInAPackage("ryemast.settings").check(DECISIONS);
     }
--- a/decisions/src/test/java/ryemast/Planted.java
+++ b/decisions/src/test/java/ryemast/PlantedFaultLoader.java
@@ -12,41 +12,45 @@
 import javax.tools.ToolProvider;
 
 /**
- * The classes of this module and its tests, with a fault planted into a copy of one source as it is, so that
- * a test can show that it would have seen it (DeMillo, Lipton and Sayward, "Hints on Test Data Selection",
- * 1978).
+ * Loads the classes of this module and its tests with a fault planted into a copy of one source file, so
+ * that a test can show that it detects the fault (mutation analysis: DeMillo, Lipton and Sayward, "Hints on
+ * Test Data Selection", 1978).
  */
-public final class Planted extends ClassLoader {
+public final class PlantedFaultLoader extends ClassLoader {
 
-    private static final Path MODULE = Path.of(URI.create(Planted.class.getProtectionDomain()
+    private static final Path MODULE = Path.of(URI.create(PlantedFaultLoader.class.getProtectionDomain()
             .getCodeSource().getLocation().toString())).getParent().getParent();
     private static final Path CLASSES = MODULE.resolve("target/classes");
 
     private final Path folder;
     private final List<Path> roots;
 
-    private Planted(Path folder) {
-        super(Planted.class.getClassLoader());
+    private PlantedFaultLoader(Path folder) {
+        super(PlantedFaultLoader.class.getClassLoader());
         this.folder = folder;
         roots = List.of(folder, CLASSES, MODULE.resolve("target/test-classes"));
     }
 
-    /** {@code file}: the class by its path, without the ending; {@code from}: stands once in its source. */
-    public static Planted plant(String file, String from, String to, Path folder) throws IOException {
+    /**
+     * {@code file} is the path of the class without extension; {@code from} must occur exactly once in its
+     * source.
+     */
+    public static PlantedFaultLoader plant(String file, String from, String to, Path folder)
+            throws IOException {
         var source = Files.readString(MODULE.resolve("src/main/java").resolve(file + ".java"));
-        assertTrue(source.contains(from), "the source has changed: " + from);
-        assertEquals(source.indexOf(from), source.lastIndexOf(from), "once in the source");
-        var changed = folder.resolve(file + ".java");
-        Files.createDirectories(changed.getParent());
-        Files.writeString(changed, source.replace(from, to));
-        var words = new StringWriter();
+        assertTrue(source.contains(from), "not found in the source: " + from);
+        assertEquals(source.indexOf(from), source.lastIndexOf(from), "must occur once in the source");
+        var mutant = folder.resolve(file + ".java");
+        Files.createDirectories(mutant.getParent());
+        Files.writeString(mutant, source.replace(from, to));
+        var diagnostics = new StringWriter();
         var compiler = ToolProvider.getSystemJavaCompiler();
         try (var files = compiler.getStandardFileManager(null, null, null)) {
             var options = List.of("-proc:none", "-cp", CLASSES.toString(), "-d", folder.toString());
-            assertTrue(compiler.getTask(words, files, null, options, null,
-                    files.getJavaFileObjects(changed)).call(), words.toString());
+            assertTrue(compiler.getTask(diagnostics, files, null, options, null,
+                    files.getJavaFileObjects(mutant)).call(), diagnostics.toString());
         }
-        return new Planted(folder);
+        return new PlantedFaultLoader(folder);
     }
 
     @Override
--- a/decisions/src/test/java/ryemast/fleet/signals/PlantedFaultsTest.java
+++ b/decisions/src/test/java/ryemast/fleet/signals/PlantedFaultsTest.java
@@ -11,111 +11,123 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 import org.junit.jupiter.api.io.TempDir;
-import ryemast.Planted;
+import ryemast.PlantedFaultLoader;
 
 /**
- * Proof that {@link SignalsTrial} sees what it judges: each fault is planted into a copy of the source as it
- * is, compiled, and played seed by seed until a rule is broken; as in DeMillo, Lipton and Sayward, "Hints on
- * Test Data Selection" (1978). The code as it is breaks none. What a play can't judge, a test finds.
+ * Shows that {@link LoadGossipSimulation} detects faults: each one is planted into a copy of a source file,
+ * compiled, and simulated seed by seed until an invariant is violated (mutation analysis: DeMillo, Lipton
+ * and Sayward, "Hints on Test Data Selection", 1978). The unmodified code violates none. Faults that a
+ * simulation can't detect are detected by a unit test.
  */
 class PlantedFaultsTest {
 
-    /** Plays of the code as it is; each fault must be found within so many as well. */
+    /** Simulations of the unmodified code; each fault must be detected within as many. */
     private static final int SEEDS = 20;
-    private static final String SIGNALS = "ryemast/fleet/signals/Signals";
+    private static final String GOSSIP = "ryemast/fleet/signals/LoadGossip";
     private static final String PEER = "ryemast/fleet/signals/Peer";
-    private static final String TIMING = "ryemast/fleet/signals/Timing";
+    private static final String CLOCK = "ryemast/fleet/signals/PeerClock";
     private static final String BORROWED = "ryemast/fleet/signals/Borrowed";
     private static final String RATES = "pipitladder/Rates";
     private static final String LEDGER = "pipitladder/Ledger";
     private static final String BOX = "ryemast/health/Box";
-    private static final String IN_PLAY = "";
-    private static final String SIGNALS_TEST = "ryemast.fleet.signals.SignalsTest.";
-    private static final String TIMING_TEST = "ryemast.fleet.signals.TimingTest.";
-    private static final String PEERS_TOLD = "pipitladder.PeersToldTest.";
+    private static final String SIMULATION = "";
+    private static final String GOSSIP_TEST = "ryemast.fleet.signals.LoadGossipTest.";
+    private static final String CLOCK_TEST = "ryemast.fleet.signals.PeerClockTest.";
+    private static final String PEERS_TOLD_TEST = "pipitladder.PeersToldTest.";
 
-    /** {@code by}: the test that finds it; {@link #IN_PLAY}: a play does. */
-    private record Fault(String what, String file, String from, String to, String by) {
+    /** {@code detectedBy}: the test that detects it, or {@link #SIMULATION}. */
+    private record Fault(String name, String file, String from, String to, String detectedBy) {
     }
 
     private static final List<Fault> FAULTS = List.of(
-            new Fault("jobs that peers told of are told on", RATES, "worker.usedSlots, Math.max(",
-                    "worker.usedSlots + worker.toldSlots(now), Math.max(", IN_PLAY),
-            new Fault("suspicion that peers told of is told on", RATES, "box.toTell(now)", "box.sick(now)",
-                    IN_PLAY),
-            new Fault("an opinion of one peer is believed", SIGNALS, "QUORUM = 2", "QUORUM = 1", IN_PLAY),
-            new Fault("our own voice is left out where few tell", SIGNALS,
-                    "if (sick.size() < ENOUGH || known)", "if (sick.isEmpty())", IN_PLAY),
-            new Fault("the mean in place of the median", SIGNALS, "told ? median(sick) : 0",
-                    "told ? sick.stream().mapToDouble(each -> each).average().orElse(0) : 0", IN_PLAY),
-            new Fault("a speed is believed however far it is from our own", SIGNALS, "FACTOR = 3",
-                    "FACTOR = 1e9", SIGNALS_TEST + "allThatLieAlikeAboutASpeedAreBounded"),
-            new Fault("one claims any part of the fleet's jobs", SIGNALS, "MOST_OF_MEDIAN = 2",
-                    "MOST_OF_MEDIAN = 1e9", IN_PLAY),
-            new Fault("who tells what can't be keeps its say", PEER,
-                    "!digest.tales().stream().allMatch(possible)", "false", IN_PLAY),
-            new Fault("our own name is believed", SIGNALS, "digest.member() == self || ", "", IN_PLAY),
-            new Fault("another peer's name is believed", SIGNALS,
-                    " || i != from && peers[i].isMember(digest.member())", "", IN_PLAY),
+            new Fault("jobs reported by peers are forwarded", RATES, "worker.usedSlots, Math.max(",
+                    "worker.usedSlots + worker.toldSlots(now), Math.max(", SIMULATION),
+            new Fault("suspicion reported by peers is forwarded", RATES, "box.toTell(now)", "box.sick(now)",
+                    SIMULATION),
+            new Fault("an estimate of a single peer is accepted", GOSSIP, "QUORUM = 2", "QUORUM = 1",
+            SIMULATION),
+            new Fault("our own estimate is omitted with few peers", GOSSIP,
+                    "if (suspicions.size() < MIN_VOTES || hasReport)", "if (suspicions.isEmpty())",
+                    SIMULATION),
+            new Fault("the mean instead of the median", GOSSIP, "hasQuorum ? median(suspicions) : 0",
+                    "hasQuorum ? suspicions.stream().mapToDouble(each -> each).average().orElse(0) : 0",
+                    SIMULATION),
+            new Fault("a speed is accepted however far it is from our own", GOSSIP, "MAX_SPEED_FACTOR = 3",
+                    "MAX_SPEED_FACTOR = 1e9", GOSSIP_TEST + "colludingFalseSpeedsAreBounded"),
+            new Fault("one peer reports any share of the fleet's jobs", GOSSIP, "MAX_MEDIAN_MULTIPLE = 2",
+                    "MAX_MEDIAN_MULTIPLE = 1e9", SIMULATION),
+            new Fault("an implausible report does not suspend the peer", PEER,
+                    "!digest.reports().stream().allMatch(plausible)", "false", SIMULATION),
+            new Fault("our own name is accepted", GOSSIP, "digest.member() == self || ", "", SIMULATION),
+            new Fault("another peer's name is accepted", GOSSIP,
+                    " || i != peer && peers[i].isMember(digest.member())", "", SIMULATION),
             new Fault("the sequence is not checked", PEER, "if (behind >= 0) {", "if (behind > 1_000_000) {",
-                    IN_PLAY),
-            new Fault("a peer that was thought to have ended is not heard again", PEER,
-                    "past.containsKey(digest.process()) && now - heardAt <= SILENT",
-                    "past.containsKey(digest.process())", SIGNALS_TEST + "theProcessThatGoesOnIsHeardAgain"),
-            new Fault("who has measured no speed judges those of others", SIGNALS,
-                    "isMeasured(tale) && isMeasured(belief.tale())", "tale.speed() > 0", IN_PLAY),
-            new Fault("what is stale does not fade", BORROWED,
-                    "Math.exp(-Math.max(0, micros) / SECOND / seconds)", "1", IN_PLAY),
-            new Fault("a silent peer keeps its say", PEER,
-                    "&& now >= noSayUntil && now - heardAt <= SILENT", "&& now >= noSayUntil", IN_PLAY),
-            new Fault("what is told counts from when it comes", PEER,
-                    "return Math.min(came, timing.at(sent));", "return came;", IN_PLAY),
-            new Fault("what nobody has answered is dated by when it comes", TIMING,
-                    "var echo = digest.echo();", "var echo = new Echo(self, now, digest.sent());", IN_PLAY),
-            new Fault("no peer is answered", PEER, "sentAt != NONE ? new Echo(process, sentAt, heardAt)",
-                    "sentAt != NONE ? null", IN_PLAY),
-            new Fault("an answer to our former process is believed", TIMING, "echo.process() == self && ", "",
-                    IN_PLAY),
-            new Fault("clocks are taken to run alike", TIMING, "(1 - LeaseTerms.USUAL_DRIFT) - 1;",
-                    "(1 + LeaseTerms.USUAL_DRIFT) - 1;", IN_PLAY),
-            new Fault("for how long a peer held ours is left out", TIMING, "best = echo;",
-                    "best = new Echo(self, echo.sent(), digest.sent());",
-                    TIMING_TEST + "isTakenToBeSentNoLaterThanItWasAndAsNearAsAnyExchangeTells"),
-            new Fault("a clock that has jumped costs the say", TIMING, "return !again;", "return false;",
-                    TIMING_TEST + "clocksThatStoodStillOrJumpedAreSetRightWithinASecond"),
-            new Fault("what a worker's former process held counts", SIGNALS,
-                    "tale == null || peer.at(code) < belief.startedAt()", "tale == null", IN_PLAY),
-            new Fault("what a worker's former process showed counts", SIGNALS,
-                    "peer.at(code) - tale.age() >= belief.startedAt()", "true", IN_PLAY),
-            new Fault("borrowed suspicion outranks own evidence", BOX, " / (1 + evidence(now));", ";",
-                    IN_PLAY),
-            new Fault("borrowed suspicion sets a worker aside", BOX, "MOST_BORROWED = 0.6",
-                    "MOST_BORROWED = 1", IN_PLAY),
-            new Fault("a borrowed speed raises the cold budget", RATES,
+                    SIMULATION),
+            new Fault("a process that was considered ended is never accepted again", PEER,
+                    "pastProcesses.containsKey(digest.process()) && now - lastReceivedAt <= SILENCE_LIMIT",
+                    "pastProcesses.containsKey(digest.process())",
+                    GOSSIP_TEST + "continuingProcessIsAcceptedAgain"),
+            new Fault("speeds are rejected without a measured one of our own", GOSSIP,
+                    "isMeasured(report) && isMeasured(estimate.report())", "report.speed() > 0", SIMULATION),
+            new Fault("stale reports do not decay", BORROWED,
+                    "Math.exp(-Math.max(0, micros) / SECOND / seconds)", "1", SIMULATION),
+            new Fault("a silent peer stays trusted", PEER,
+                    "&& now >= suspendedUntil && now - lastReceivedAt <= SILENCE_LIMIT",
+                    "&& now >= suspendedUntil", SIMULATION),
+            new Fault("the age of a report counts from its receipt", PEER,
+                    "return Math.min(receivedAt, clock.earliestSendTime(sentAt));", "return receivedAt;",
+                    SIMULATION),
+            new Fault("a digest without an echo is dated by its receipt", CLOCK,
+                    "var echo = digest.echo();", "var echo = new Echo(ownProcess, now, digest.sentAt());",
+                    SIMULATION),
+            new Fault("no echo is sent", PEER,
+            "lastSentAt != NO_TIME ? new Echo(process, lastSentAt, lastReceivedAt)",
+                    "lastSentAt != NO_TIME ? null", SIMULATION),
+            new Fault("an echo for our former process is accepted", CLOCK, "echo.process() == ownProcess && ",
+            "",
+                    SIMULATION),
+            new Fault("clock drift is ignored", CLOCK, "(1 - LeaseTerms.USUAL_DRIFT) - 1;",
+                    "(1 + LeaseTerms.USUAL_DRIFT) - 1;", SIMULATION),
+            new Fault("the hold time of the echo is ignored", CLOCK, "bestExchange = echo;",
+                    "bestExchange = new Echo(ownProcess, echo.sentAt(), digest.sentAt());",
+                    CLOCK_TEST + "sendTimeIsNeverOverestimatedAndAsTightAsAnyExchangeAllows"),
+            new Fault("a clock jump suspends the peer", CLOCK, "return !repeated;", "return false;",
+                    CLOCK_TEST + "stoppedOrJumpedClocksRecoverWithinASecond"),
+            new Fault("jobs of a worker's former process count", GOSSIP,
+                    "report == null || peer.earliestTime(nameHash) < own.startedAt()", "report == null",
+                    SIMULATION),
+            new Fault("evidence of a worker's former process counts", GOSSIP,
+                    "peer.earliestTime(nameHash) - report.age() >= own.startedAt()", "true", SIMULATION),
+            new Fault("peers' suspicion outweighs own evidence", BOX, " / (1 + evidence(now));", ";",
+                    SIMULATION),
+            new Fault("peers' suspicion ejects a worker", BOX, "MOST_BORROWED = 0.6",
+                    "MOST_BORROWED = 1", SIMULATION),
+            new Fault("a speed from peers raises the slow-start budget", RATES,
                     "double speed = speed(worker);", "double speed = believed(worker, now);",
-                    PEERS_TOLD + "nothingBorrowedRaisesWhatTheColdRuleAllows"),
-            new Fault("a job is refused for what peers hold", LEDGER, "return queueing * ownPart;",
-                    "return queueing;", PEERS_TOLD + "nobodyIsRefusedForWhatPeersTell"));
+                    PEERS_TOLD_TEST + "nothingBorrowedRaisesWhatTheColdRuleAllows"),
+            new Fault("a job is rejected for load reported by peers", LEDGER, "return queueing * ownPart;",
+                    "return queueing;", PEERS_TOLD_TEST + "nobodyIsRefusedForWhatPeersTell"));
 
-    /** The first seed whose play breaks a rule; 0 if none does. */
-    private static int found(Planted loader) throws ReflectiveOperationException {
-        var play = loader.loadClass(SignalsTrial.class.getName()).getMethod("breaches", long.class);
+    /** The first seed whose simulation violates an invariant; 0 if none does. */
+    private static int detectingSeed(PlantedFaultLoader loader) throws ReflectiveOperationException {
+        var simulation = loader.loadClass(LoadGossipSimulation.class.getName())
+                .getMethod("violations", long.class);
         for (int seed = 1; seed <= SEEDS; seed++) {
-            if (!((Map<?, ?>) play.invoke(null, (long) seed)).isEmpty()) {
+            if (!((Map<?, ?>) simulation.invoke(null, (long) seed)).isEmpty()) {
                 return seed;
             }
         }
         return 0;
     }
 
-    private static boolean fails(Planted loader, String test) throws ReflectiveOperationException {
+    private static boolean fails(PlantedFaultLoader loader, String test) throws ReflectiveOperationException {
         int dot = test.lastIndexOf('.');
-        var made = loader.loadClass(test.substring(0, dot)).getDeclaredConstructor();
-        made.setAccessible(true);
-        var method = made.getDeclaringClass().getDeclaredMethod(test.substring(dot + 1));
+        var constructor = loader.loadClass(test.substring(0, dot)).getDeclaredConstructor();
+        constructor.setAccessible(true);
+        var method = constructor.getDeclaringClass().getDeclaredMethod(test.substring(dot + 1));
         method.setAccessible(true);
         try {
-            method.invoke(made.newInstance());
+            method.invoke(constructor.newInstance());
             return false;
         } catch (InvocationTargetException e) {
             return e.getCause() instanceof AssertionError;
@@ -124,21 +136,21 @@
 
     @TestFactory
     List<DynamicTest> eachFaultIsFound(@TempDir Path folder) {
-        return FAULTS.stream().map(fault -> DynamicTest.dynamicTest(fault.what, () -> {
-            var loader = Planted.plant(fault.file, fault.from, fault.to,
+        return FAULTS.stream().map(fault -> DynamicTest.dynamicTest(fault.name, () -> {
+            var loader = PlantedFaultLoader.plant(fault.file, fault.from, fault.to,
                     folder.resolve(String.valueOf(FAULTS.indexOf(fault))));
-            if (fault.by.equals(IN_PLAY)) {
-                assertTrue(found(loader) > 0, "not found in " + SEEDS + " plays");
+            if (fault.detectedBy.equals(SIMULATION)) {
+                assertTrue(detectingSeed(loader) > 0, "not detected in " + SEEDS + " simulations");
             } else {
-                assertTrue(fails(loader, fault.by), fault.by + " passes");
+                assertTrue(fails(loader, fault.detectedBy), fault.detectedBy + " passes");
             }
         })).toList();
     }
 
     @Test
-    void theCodeAsItIsBreaksNoRule() {
+    void unmodifiedCodeViolatesNoInvariant() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            assertEquals(Map.of(), SignalsTrial.breaches(seed), "seed " + seed);
+            assertEquals(Map.of(), LoadGossipSimulation.violations(seed), "seed " + seed);
         }
     }
 }
--- a/lab/src/main/java/ryemast/lab/model/ModelPeers.java
+++ b/lab/src/main/java/ryemast/lab/model/ModelPeers.java
@@ -2,7 +2,7 @@
 
 import pipitladder.Brain;
 import pipitladder.Dispatcher.PeersTold;
-import ryemast.fleet.signals.Signals;
+import ryemast.fleet.signals.LoadGossip;
 
 /**
  * The signals of one life of a modelled dispatcher: the program's own decisions on what to tell and what to
@@ -15,9 +15,9 @@
     private final Brain module;
     private final Site site;
     private final Talk talk;
-    private final Signals signals;
+    private final LoadGossip signals;
     /** What a liar says is made by one that believes other things, and hears the same: it has to answer. */
-    private final Signals mouth;
+    private final LoadGossip mouth;
     private final ModelNet.Party party;
     private boolean told;
     private boolean over;
@@ -29,8 +29,8 @@
         this.site = site;
         this.talk = talk;
         var name = "dispatcher-" + number;
-        signals = new Signals(name, seed, site.hosts().size());
-        mouth = number < talk.liars() ? new Signals(name, seed, site.hosts().size()) : signals;
+        signals = new LoadGossip(name, seed, site.hosts().size());
+        mouth = number < talk.liars() ? new LoadGossip(name, seed, site.hosts().size()) : signals;
         party = site.net().party("peers", number);
     }
 
@@ -48,14 +48,14 @@
         }
         long now = instance.loop().now();
         var beliefs = module.beliefs(now);
-        var digests = signals.tell(now, beliefs);
-        var said = mouth == signals ? digests : mouth.tell(now, talk.said(number, now, beliefs));
+        var digests = signals.digests(now, beliefs);
+        var said = mouth == signals ? digests : mouth.digests(now, talk.said(number, now, beliefs));
         for (var host : site.hosts()) {
             if (host.number() != number) {
                 said.get(host.number()).forEach(digest -> send(host, digest));
             }
         }
-        var borrowed = signals.borrowed(now);
+        var borrowed = signals.peerEstimates(now);
         if (told || !borrowed.isEmpty()) {
             told = !borrowed.isEmpty();
             instance.exchange().told(new PeersTold(borrowed));
@@ -64,9 +64,9 @@
     }
 
     private void hear(int from, byte[] digest) {
-        signals.hear(instance.loop().now(), from, digest);
+        signals.receive(instance.loop().now(), from, digest);
         if (mouth != signals) {
-            mouth.hear(instance.loop().now(), from, digest);
+            mouth.receive(instance.loop().now(), from, digest);
         }
     }
 
--- a/lab/src/main/java/ryemast/lab/model/Talk.java
+++ b/lab/src/main/java/ryemast/lab/model/Talk.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.regex.Pattern;
-import ryemast.fleet.signals.Own;
-import ryemast.fleet.signals.Tale;
+import ryemast.fleet.signals.LocalEstimate;
+import ryemast.fleet.signals.WorkerReport;
 
 /**
  * How modelled dispatchers tell each other of workers.
@@ -62,27 +62,29 @@
     }
 
     /** What dispatcher {@code number} says where it believes this. */
-    List<Own> said(int number, long now, List<Own> beliefs) {
+    List<LocalEstimate> said(int number, long now, List<LocalEstimate> beliefs) {
         return number >= liars ? beliefs : beliefs.stream().map(each -> lied(each, now)).toList();
     }
 
-    private Own lied(Own truth, long now) {
-        int code = Tale.code(truth.worker());
+    private LocalEstimate lied(LocalEstimate truth, long now) {
+        int code = WorkerReport.nameHash(truth.worker());
         var kinds = Lie.values();
         var kind = lie != Lie.WILD ? lie
-                : kinds[Math.floorMod(Tale.code(truth.worker() + now / (long) SECOND), kinds.length - 1)];
+                : kinds[Math.floorMod(WorkerReport.nameHash(truth.worker() + now / (long) SECOND),
+                kinds.length - 1)];
         boolean up = (code & 1) == 0;
         double speed = truth.speed();
-        var told = truth.tale() == null ? new Tale(code, 0, 0, 0, 0, 0, 0, 0) : truth.tale();
+        var told = truth.report() == null ? new WorkerReport(code, 0, 0, 0, 0, 0, 0, 0) : truth.report();
         var tale = switch (kind) {
-            case IDLE -> new Tale(code, 0, 0, 2 * speed, 50, 0, 20, 0);
-            case FULL -> new Tale(code, MANY_JOBS, MANY_JOBS, speed, 50, 0, 20, 0);
-            case SICK -> new Tale(code, told.jobs(), told.work(), speed, 50, 1, 20, 0);
-            case HERD -> up ? new Tale(code, 0, 0, 8 * speed, 50, 0, 20, 0)
-                    : new Tale(code, MANY_JOBS, MANY_JOBS, speed / 8, 50, 1, 20, 0);
-            default -> new Tale(code, told.jobs(), told.work(), up ? speed * 12 : speed / 12, 50, told.sick(),
+            case IDLE -> new WorkerReport(code, 0, 0, 2 * speed, 50, 0, 20, 0);
+            case FULL -> new WorkerReport(code, MANY_JOBS, MANY_JOBS, speed, 50, 0, 20, 0);
+            case SICK -> new WorkerReport(code, told.jobs(), told.work(), speed, 50, 1, 20, 0);
+            case HERD -> up ? new WorkerReport(code, 0, 0, 8 * speed, 50, 0, 20, 0)
+                    : new WorkerReport(code, MANY_JOBS, MANY_JOBS, speed / 8, 50, 1, 20, 0);
+            default -> new WorkerReport(code, told.jobs(), told.work(), up ? speed * 12 : speed / 12, 50,
+                    told.suspicion(),
                     told.evidence(), told.age());
         };
-        return new Own(truth.worker(), truth.startedAt(), truth.slots(), speed, tale);
+        return new LocalEstimate(truth.worker(), truth.startedAt(), truth.slots(), speed, tale);
     }
 }
--- a/peers/src/main/java/ryemast/peers/Peers.java
+++ b/peers/src/main/java/ryemast/peers/Peers.java
@@ -10,13 +10,13 @@
 import ryemast.core.Loop;
 import ryemast.core.Note;
 import ryemast.fleet.signals.Digest;
-import ryemast.fleet.signals.Own;
-import ryemast.fleet.signals.Signals;
+import ryemast.fleet.signals.LoadGossip;
+import ryemast.fleet.signals.LocalEstimate;
 
 /**
  * Tells the peers, once a period, what the module has seen of workers, and hands the module what they told:
- * {@link Signals} decides what is told and what is believed. Owned by the loop. When all peers are silent the
- * module hears nothing of it.
+ * {@link LoadGossip} decides what is told and what is believed. Owned by the loop. When all peers are silent
+ * the module hears nothing of it.
  */
 public final class Peers implements AutoCloseable {
 
@@ -36,9 +36,9 @@
 
     private final Loop loop;
     private final Exchange exchange;
-    private final LongFunction<List<Own>> beliefs;
+    private final LongFunction<List<LocalEstimate>> beliefs;
     private final Terms terms;
-    private final Signals signals;
+    private final LoadGossip signals;
     private final Datagrams datagrams;
     private final long[] lineAt;
     private boolean told;
@@ -46,15 +46,15 @@
     private boolean over;
 
     /** Listens from now on, and tells from {@link #begin} on. */
-    public Peers(Loop loop, Exchange exchange, LongFunction<List<Own>> beliefs, Terms terms)
+    public Peers(Loop loop, Exchange exchange, LongFunction<List<LocalEstimate>> beliefs, Terms terms)
             throws PeersException {
         this.loop = loop;
         this.exchange = exchange;
         this.beliefs = beliefs;
         this.terms = terms;
-        signals = new Signals(terms.name, terms.process, terms.peers.size());
+        signals = new LoadGossip(terms.name, terms.process, terms.peers.size());
         lineAt = new long[terms.peers.size()];
-        datagrams = new Datagrams(loop, terms.listen, terms.peers, Digest.LONGEST, this::hear);
+        datagrams = new Datagrams(loop, terms.listen, terms.peers, Digest.MAX_BYTES, this::hear);
     }
 
     InetSocketAddress address() {
@@ -67,18 +67,18 @@
             return;
         }
         long now = loop.now();
-        var digests = signals.tell(now, beliefs.apply(now));
+        var digests = signals.digests(now, beliefs.apply(now));
         for (int i = 0; i < terms.peers.size(); i++) {
             for (var digest : digests.get(i)) {
                 datagrams.send(i, digest);
             }
         }
-        var borrowed = signals.borrowed(now);
+        var borrowed = signals.peerEstimates(now);
         if (told || !borrowed.isEmpty()) {
             told = !borrowed.isEmpty();
             exchange.told(new PeersTold(borrowed));
         }
-        count(signals.heard(now));
+        count(signals.trustedPeers(now));
         loop.at(now + terms.period, this::begin);
     }
 
@@ -92,13 +92,13 @@
     }
 
     private void hear(int peer, byte[] datagram) {
-        var refused = signals.hear(loop.now(), peer, datagram);
+        var refused = signals.receive(loop.now(), peer, datagram);
         if (refused != null && loop.now() >= lineAt[peer]) {
-            boolean grave = refused.costsSay();
+            boolean grave = refused.suspendsPeer();
             lineAt[peer] = grave ? loop.now() + LINE_EVERY : lineAt[peer];
             Note.log(LOG, grave ? Level.WARNING : Level.FINE, null,
                     "signals: what came from peer {peer} {why}; it is not used{then}", "peer",
-                    terms.peers.get(peer), "why", refused.words, "then",
+                    terms.peers.get(peer), "why", refused.reason, "then",
                     grave ? ", and the peer is not believed for 10 s" : "");
         }
     }
--- a/peers/src/test/java/ryemast/peers/PeersTest.java
+++ b/peers/src/test/java/ryemast/peers/PeersTest.java
@@ -18,8 +18,8 @@
 import ryemast.core.Clock;
 import ryemast.core.Exchange;
 import ryemast.core.Loop;
-import ryemast.fleet.signals.Own;
-import ryemast.fleet.signals.Tale;
+import ryemast.fleet.signals.LocalEstimate;
+import ryemast.fleet.signals.WorkerReport;
 
 class PeersTest {
 
@@ -40,8 +40,8 @@
         final Peers peers;
 
         Member(String name, int port, Integer... others) throws Exception {
-            var tale = new Tale(Tale.code("w"), 3, 2, 1, 9, 0.01, 4, 0);
-            peers = new Peers(loop, exchange, now -> List.of(new Own("w", 0, 4, 1, tale)),
+            var tale = new WorkerReport(WorkerReport.nameHash("w"), 3, 2, 1, 9, 0.01, 4, 0);
+            peers = new Peers(loop, exchange, now -> List.of(new LocalEstimate("w", 0, 4, 1, tale)),
                     new Peers.Terms(name, name.hashCode(), at(port), java.util.Arrays.stream(others)
                     .map(PeersTest::at).toList(), PERIOD));
             open.add(peers);
