--- a/decisions/src/main/java/pipitladder/Brain.java
+++ b/decisions/src/main/java/pipitladder/Brain.java
@@ -13,7 +13,7 @@
 import pipitladder.DispatchState.Job;
 import pipitladder.DispatchState.Worker;
 import ryemast.fleet.choices.TenantRateLimiter;
-import ryemast.fleet.signals.Own;
+import ryemast.fleet.signals.LocalEstimate;
 import ryemast.health.OutlierDetector;
 import ryemast.health.Refusals.Cause;
 import ryemast.health.Sign;
@@ -131,7 +131,7 @@
     }
 
     /** The evidence about workers that may be sent to peers: own observations only. */
-    public List<Own> ownEvidence(long time) {
+    public List<LocalEstimate> ownEvidence(long time) {
         return workers.values().stream().map(worker -> estimates.ownEvidence(worker, time)).toList();
     }
 
--- a/decisions/src/main/java/pipitladder/DispatchState.java
+++ b/decisions/src/main/java/pipitladder/DispatchState.java
@@ -207,12 +207,12 @@
         /** Stores the peers' evidence; null: there is none. */
         void setPeerEvidence(Borrowed evidence, long now) {
             peerEvidence = evidence;
-            health.setPeerSuspicion(evidence == null ? 0 : evidence.sick(), now);
+            health.setPeerSuspicion(evidence == null ? 0 : evidence.suspicion(), now);
         }
 
         double peerSlots(long now) {
             return peerEvidence == null ? peerJobs.size()
-                    : Math.max(peerJobs.size(), peerEvidence.jobs() * peerEvidence.held(now));
+                    : Math.max(peerJobs.size(), peerEvidence.jobs() * peerEvidence.loadDecay(now));
         }
 
         /** What remains of the peers' jobs, the larger of the two sources counting. */
@@ -223,7 +223,7 @@
                 sum += Math.min(each.work(), (each.expectedEndAt() - now) / SECOND * speed);
             }
             double total = peerEvidence == null ? sum
-                    : Math.max(sum, peerEvidence.work() * peerEvidence.held(now));
+                    : Math.max(sum, peerEvidence.work() * peerEvidence.loadDecay(now));
             ownShare = total > sum ? (work + sum) / (work + total) : 1;
             return total;
         }
--- a/decisions/src/main/java/pipitladder/WorkerEstimates.java
+++ b/decisions/src/main/java/pipitladder/WorkerEstimates.java
@@ -9,8 +9,8 @@
 import pipitladder.DispatchState.DecayingMean;
 import pipitladder.DispatchState.DecayingRate;
 import pipitladder.DispatchState.Worker;
-import ryemast.fleet.signals.Own;
-import ryemast.fleet.signals.Tale;
+import ryemast.fleet.signals.LocalEstimate;
+import ryemast.fleet.signals.WorkerReport;
 import ryemast.limits.QuotaCapacity;
 
 /**
@@ -83,21 +83,23 @@
         if (peers == null || peers.samples() <= 0) {
             return own;
         }
-        double peerWeight = peers.samples() * peers.opinion(now);
+        double peerWeight = peers.samples() * peers.estimateDecay(now);
         double ownWeight = worker.logSpeed.samples + PRIOR_SAMPLES;
         return Math.exp((Math.log(own) * ownWeight + peers.logSpeed() * peerWeight)
                 / (ownWeight + peerWeight));
     }
 
     /** The evidence about a worker that may be sent to peers; without details if none is left. */
-    Own ownEvidence(Worker worker, long now) {
+    LocalEstimate ownEvidence(Worker worker, long now) {
         var box = worker.health;
         double evidence = box.evidence(now);
         boolean seen = worker.usedSlots > 0 || evidence >= MIN_EVIDENCE;
-        var tale = !seen ? null : new Tale(Tale.code(worker.id), worker.usedSlots, Math.max(0, worker.work),
+        var tale = !seen ? null
+                : new WorkerReport(WorkerReport.nameHash(worker.id),
+                worker.usedSlots, Math.max(0, worker.work),
                 worker.logSpeed.samples > 0 ? Math.exp(worker.logSpeed.mean) : 0, worker.logSpeed.samples,
                 box.peekLocalSickProbability(now), evidence, box.sinceLastSign(now));
-        return new Own(worker.id, worker.info.startedAt(), slots(worker), speed(worker), tale);
+        return new LocalEstimate(worker.id, worker.info.startedAt(), slots(worker), speed(worker), tale);
     }
 
     private DecayingMean speedOfKind(Worker worker) {
