--- a/decisions/src/main/java/pipitladder/Brain.java
+++ b/decisions/src/main/java/pipitladder/Brain.java
@@ -199,14 +199,14 @@
         setTimer("tick", period, this::placeRound);
     }
 
-    private void runTimer(DispatchState.Timer alarm) {
-        health.woke(now, alarm.dueAt());
-        alarm.task().run();
+    private void runTimer(DispatchState.Timer timer) {
+        health.woke(now, timer.dueAt());
+        timer.task().run();
     }
 
-    private void setTimer(String timer, long wait, Runnable due) {
-        if (timers.putIfAbsent(timer, new DispatchState.Timer(now + wait, due)) == null) {
-            actionSink.accept(new SetTimer(now + wait, timer));
+    private void setTimer(String name, long wait, Runnable task) {
+        if (timers.putIfAbsent(name, new DispatchState.Timer(now + wait, task)) == null) {
+            actionSink.accept(new SetTimer(now + wait, name));
         }
     }
 
@@ -390,12 +390,12 @@
         }
     }
 
-    private void recordPeerSend(DispatchState.SendReport note) {
-        var worker = byCode.get(note.worker());
+    private void recordPeerSend(DispatchState.SendReport report) {
+        var worker = byCode.get(report.worker());
         if (worker != null) {
             updateEstimates(worker);
-            double seconds = worker.wait + note.work() / worker.speed;
-            worker.peerJobs.add(new DispatchState.PeerJob(now, now + (long) (seconds * SECOND), note.work()));
+            double seconds = worker.wait + report.work() / worker.speed;
+            worker.peerJobs.add(new DispatchState.PeerJob(now, now + (long) (seconds * SECOND), report.work()));
         }
     }
 
@@ -658,8 +658,8 @@
         if (sign == Sign.SERVED && warmUp(worker) >= 1) {
             estimates.recordServed(attempt, !health.wasDeaf(now), now);
         } else if (sign == Sign.TURNED_AWAY) {
-            double room = FULL_BACKOFF_JOBS * workPerJob.mean / Math.max(1e-3, worker.workPerSecond);
-            worker.health.full(now, Math.max(period / SECOND, room));
+            double backoff = FULL_BACKOFF_JOBS * workPerJob.mean / Math.max(1e-3, worker.workPerSecond);
+            worker.health.full(now, Math.max(period / SECOND, backoff));
         }
     }
 
--- a/decisions/src/main/java/pipitladder/WorkerEstimates.java
+++ b/decisions/src/main/java/pipitladder/WorkerEstimates.java
@@ -170,12 +170,12 @@
     }
 
     /** A job waited this many seconds, or longer, beyond what own work explains. */
-    void recordWait(boolean cold, double seconds) {
-        (cold ? slowStartWait : warmWait).add(seconds, WAIT_DECAY);
+    void recordWait(boolean inSlowStart, double seconds) {
+        (inSlowStart ? slowStartWait : warmWait).add(seconds, WAIT_DECAY);
     }
 
     /** The expected wait, in seconds, at a worker without recent observations. */
-    double usualWait(boolean cold) {
-        return (cold ? slowStartWait : warmWait).mean;
+    double usualWait(boolean inSlowStart) {
+        return (inSlowStart ? slowStartWait : warmWait).mean;
     }
 }
--- a/decisions/src/test/java/pipitladder/DispatcherFleetTest.java
+++ b/decisions/src/test/java/pipitladder/DispatcherFleetTest.java
@@ -215,22 +215,22 @@
 
     @Test
     void jobsReportedByPeersCountAsBacklog() {
-        var teller = new Rig(settings(0, 3, true, true, false));
-        teller.list(Rig.worker("a"));
+        var sender = new Rig(settings(0, 3, true, true, false));
+        sender.list(Rig.worker("a"));
         for (int id = 1; id <= 12; id++) {
-            teller.request(id, S);
+            sender.request(id, S);
         }
-        teller.advance(10 * MS);
-        var listener = new Rig(settings(1, 3, true, true, false));
-        listener.list(Rig.worker("a"), Rig.worker("b"));
-        assertTrue(teller.actionsOfType(TellPeers.class).size() >= 5);
-        teller.actionsOfType(TellPeers.class)
-                .forEach(tell -> listener.handle(new PeerMessage(0, tell.text())));
+        sender.advance(10 * MS);
+        var receiver = new Rig(settings(1, 3, true, true, false));
+        receiver.list(Rig.worker("a"), Rig.worker("b"));
+        assertTrue(sender.actionsOfType(TellPeers.class).size() >= 5);
+        sender.actionsOfType(TellPeers.class)
+                .forEach(tell -> receiver.handle(new PeerMessage(0, tell.text())));
         for (int id = 1; id <= 3; id++) {
-            listener.request(id, S);
+            receiver.request(id, S);
         }
-        listener.advance(10 * MS);
-        listener.actionsOfType(Send.class).forEach(send -> assertEquals("b", send.worker()));
+        receiver.advance(10 * MS);
+        receiver.actionsOfType(Send.class).forEach(send -> assertEquals("b", send.worker()));
     }
 
     @Test
--- a/decisions/src/test/java/pipitladder/PartialFailureTest.java
+++ b/decisions/src/test/java/pipitladder/PartialFailureTest.java
@@ -24,27 +24,27 @@
         "0.05, 0, 0, 500, 20", "0.05, 0, 0, 1500, 20", "0.05, 0, 0, 100, 20", "0.02, 0.05, 0, 500, 20",
         "0.10, 0, 0, 50, 20", "0.10, 0, 0, 500, 20", "0.10, 0, 0, 3000, 20", "0.10, 0, 0, 100, 3",
         "0.10, 0, 0, 1500, 200"})
-    void randomFailuresCostOnlyRetries(double resets, double lost, double away, int rate,
-            int boxes) {
-        for (boolean told : new boolean[] {false, true}) {
-            var fleet = new SimulatedFleet(boxes, told, 7, Effect.REPEATABLE);
+    void randomFailuresCostOnlyRetries(double resets, double lost, double rejects, int rate,
+            int workers) {
+        for (boolean startsReported : new boolean[] {false, true}) {
+            var fleet = new SimulatedFleet(workers, startsReported, 7, Effect.REPEATABLE);
             fleet.machines.forEach(each -> {
                 each.resets = resets;
                 each.lostAnswers = lost;
-                each.rejects = away;
+                each.rejects = rejects;
             });
             fleet.list();
             fleet.load(rate, 4 * S, 0, 5 * MS);
             fleet.advance(16 * S);
-            assertTrue(fleet.servedShare(0) >= 0.999, "starts reported " + told + ": " + fleet);
-            assertTrue(fleet.sendsPerServed() < 1.3, "starts reported " + told + ": " + fleet);
+            assertTrue(fleet.servedShare(0) >= 0.999, "starts reported " + startsReported + ": " + fleet);
+            assertTrue(fleet.sendsPerServed() < 1.3, "starts reported " + startsReported + ": " + fleet);
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void rejectedJobsAreRetriedElsewhereUpToTheLimit(boolean told) {
-        var fleet = new SimulatedFleet(20, told, 7, Effect.REPEATABLE);
+    void rejectedJobsAreRetriedElsewhereUpToTheLimit(boolean startsReported) {
+        var fleet = new SimulatedFleet(20, startsReported, 7, Effect.REPEATABLE);
         fleet.machines.forEach(each -> {
             each.resets = 0.05;
             each.rejects = 0.2;
@@ -58,8 +58,8 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void unsafeJobsLoseOnlyTheFractionThatWasReset(boolean told) {
-        var fleet = new SimulatedFleet(20, told, 3, Effect.UNSAFE);
+    void unsafeJobsLoseOnlyTheFractionThatWasReset(boolean startsReported) {
+        var fleet = new SimulatedFleet(20, startsReported, 3, Effect.UNSAFE);
         fleet.machines.forEach(each -> each.resets = 0.05);
         fleet.list();
         fleet.load(500, 8 * S, 0, 5 * MS);
@@ -71,8 +71,8 @@
 
     @ParameterizedTest
     @CsvSource({"1, false", "4, false", "10, false", "1, true", "4, true", "10, true"})
-    void workersThatAcceptAndNeverStartLoseNoJob(int silent, boolean told) {
-        var fleet = new SimulatedFleet(20, told, 7, Effect.REPEATABLE);
+    void workersThatAcceptAndNeverStartLoseNoJob(int silent, boolean startsReported) {
+        var fleet = new SimulatedFleet(20, startsReported, 7, Effect.REPEATABLE);
         fleet.list();
         fleet.machines.subList(0, silent).forEach(each -> each.silent = true);
         fleet.load(500, 8 * S, 0, 5 * MS);
--- a/decisions/src/test/java/pipitladder/PeerEvidenceTest.java
+++ b/decisions/src/test/java/pipitladder/PeerEvidenceTest.java
@@ -32,7 +32,7 @@
     private static final long S = Rig.S;
 
     /** A random fleet with failures and silent workers; signals are computed, and all peers are silent. */
-    private static List<String> play(long seed, boolean signals, Map<String, Borrowed> told) {
+    private static List<String> play(long seed, boolean signals, Map<String, Borrowed> evidence) {
         var random = new Random(seed);
         var brain = new Brain(Rig.settings(List.of(Rig.jobClass(Effect.REPEATABLE, KeyScope.ALL)),
                 List.of(), true, true, 3), seed);
@@ -52,7 +52,7 @@
             long at = now;
             if (signals && step % 10 == 0) {
                 assertEquals(1, own.tell(now, brain.ownEvidence(now)).get(0).size());
-                var borrowed = told == null ? own.borrowed(now) : told;
+                var borrowed = evidence == null ? own.borrowed(now) : evidence;
                 brain.handle(now, new PeersTold(borrowed), actions::add);
             }
             for (var timer : timers.stream().filter(each -> each.dueAt() <= at).toList()) {
@@ -157,11 +157,11 @@
     void peersEvidenceNeverRaisesTheSlowStartBudget() {
         var most = new Borrowed(0, 0, 0, Math.log(3), 12, 0);
         long[] work = new long[2];
-        for (int told = 0; told < 2; told++) {
+        for (int reported = 0; reported < 2; reported++) {
             var rig = new Rig(Rig.settings(Effect.REPEATABLE, KeyScope.ALL));
             rig.list(Rig.worker("cold", 0, 0, rig.now - S / 2));
             for (int i = 0; i < 200; i++) {
-                if (told == 1) {
+                if (reported == 1) {
                     rig.handle(new PeersTold(Map.of("cold", new Borrowed(rig.now, 0, 0, most.logSpeed(),
                             most.samples(), 0))));
                 }
@@ -172,7 +172,7 @@
                     rig.end(i, 0, Outcome.SUCCESS);
                 }
             }
-            work[told] = rig.actionsOfType(Send.class).size();
+            work[reported] = rig.actionsOfType(Send.class).size();
         }
         assertTrue(work[0] > 0);
         assertEquals(work[0], work[1]);
--- a/decisions/src/test/java/pipitladder/RefusalTest.java
+++ b/decisions/src/test/java/pipitladder/RefusalTest.java
@@ -17,10 +17,10 @@
 /** A refusal is immediate and gives a retry time, as a client without one retries too early. */
 class RefusalTest {
 
-    private static Rig rig(boolean told) {
+    private static Rig rig(boolean retryAfter) {
         return new Rig(new Settings(0, 1, 0, Rig.MS, true, false, true, Rig.S,
                 List.of(Rig.jobClass(Effect.REPEATABLE, KeyScope.ALL)), List.of(), List.of(),
-                new Limits(4, true, true, false, false, told, 2 * Rig.S, 250 * Rig.MS),
+                new Limits(4, true, true, false, false, retryAfter, 2 * Rig.S, 250 * Rig.MS),
                 new Rules(10 * Rig.S, 9 * Rig.S, 0.3, 4, 2 * Rig.S), new Prices(0, 0, 0, 0)));
     }
 
--- a/decisions/src/test/java/pipitladder/ReservingTest.java
+++ b/decisions/src/test/java/pipitladder/ReservingTest.java
@@ -100,10 +100,10 @@
             seen.add(event);
             twin.handle(at, event, out);
         }, parts, LIMITS);
-        var told = new ArrayList<Event>();
+        var expected = new ArrayList<Event>();
         var alone = fleet.brain;
         fleet.receiver = (at, event, out) -> {
-            told.add(event);
+            expected.add(event);
             var actions = new ArrayList<Action>();
             alone.handle(at, event, actions::add);
             var same = new ArrayList<Action>();
@@ -120,8 +120,8 @@
         fleet.load(30, 20 * S, 0, 400_000, 1);
         fleet.load(20, 20 * S, 1, 300_000, 1);
         fleet.advance(40 * S);
-        assertEquals(told, seen);
-        assertTrue(told.size() > 2000 && fleet.served > 300 && fleet.refused + fleet.failed > 0, "" + seed);
+        assertEquals(expected, seen);
+        assertTrue(expected.size() > 2000 && fleet.served > 300 && fleet.refused + fleet.failed > 0, "" + seed);
         assertTrue(wrapped.tallies().isEmpty());
     }
 
--- a/decisions/src/test/java/pipitladder/SimulatedFleet.java
+++ b/decisions/src/test/java/pipitladder/SimulatedFleet.java
@@ -149,23 +149,23 @@
     }
 
     /** Plain settings with these classes. */
-    static Settings settings(boolean startsTold, List<JobClass> classes) {
-        return new Settings(0, 1, 0, MS, true, false, startsTold, startsTold ? PROGRESS : 0, classes,
+    static Settings settings(boolean startsReported, List<JobClass> classes) {
+        return new Settings(0, 1, 0, MS, true, false, startsReported, startsReported ? PROGRESS : 0, classes,
                 List.of(), List.of(), new Limits(5, true, true, false, false, false, 0, 250 * MS),
                 new Rules(10 * S, 9 * S, 0.3, 4, 2 * S), new Prices(0, 0, 0, 0));
     }
 
-    SimulatedFleet(int boxes, boolean startsTold, long seed, Effect... effects) {
-        this(boxes, settings(startsTold, Arrays.stream(effects).map(SimulatedFleet::jobClass).toList()),
+    SimulatedFleet(int workers, boolean startsReported, long seed, Effect... effects) {
+        this(workers, settings(startsReported, Arrays.stream(effects).map(SimulatedFleet::jobClass).toList()),
                 seed);
     }
 
-    SimulatedFleet(int boxes, Settings settings, long seed) {
+    SimulatedFleet(int workers, Settings settings, long seed) {
         this.settings = settings;
         random = new Random(seed);
         brain = new Brain(settings, seed);
         receiver = brain;
-        for (int i = 0; i < boxes; i++) {
+        for (int i = 0; i < workers; i++) {
             machines.add(new Machine(i, 0));
         }
     }
--- a/decisions/src/test/java/pipitladder/UnhealthyWorkerTest.java
+++ b/decisions/src/test/java/pipitladder/UnhealthyWorkerTest.java
@@ -25,13 +25,13 @@
      * lost.
      */
     enum Fault {
-        RESETS_HALF((box, on) -> box.resets = on ? 0.5 : 0, 60, 40, 8),
-        ERRORS_OF_A_THIRD((box, on) -> box.errors = on ? 0.33 : 0, 80, 90, 12),
-        CRASHED((box, on) -> box.dead = on, 10, 10, 0),
-        VANISHED((box, on) -> box.vanished = on, 10, 10, 0),
-        ACCEPTS_AND_NEVER_STARTS((box, on) -> box.silent = on, 12, 8, 2),
-        STARTS_AND_NEVER_ENDS((box, on) -> box.neverEnds = on, 16, 8, 3),
-        SLOW_BY_TEN((box, on) -> box.slowness = on ? 10 : 1, 20, 60, 0);
+        RESETS_HALF((worker, on) -> worker.resets = on ? 0.5 : 0, 60, 40, 8),
+        ERRORS_OF_A_THIRD((worker, on) -> worker.errors = on ? 0.33 : 0, 80, 90, 12),
+        CRASHED((worker, on) -> worker.dead = on, 10, 10, 0),
+        VANISHED((worker, on) -> worker.vanished = on, 10, 10, 0),
+        ACCEPTS_AND_NEVER_STARTS((worker, on) -> worker.silent = on, 12, 8, 2),
+        STARTS_AND_NEVER_ENDS((worker, on) -> worker.neverEnds = on, 16, 8, 3),
+        SLOW_BY_TEN((worker, on) -> worker.slowness = on ? 10 : 1, 20, 60, 0);
 
         private final BiConsumer<SimulatedFleet.Machine, Boolean> change;
         private final int first;
@@ -56,25 +56,25 @@
             fleet.load(100, 10 * S, 1, 5 * MS);
             fleet.advance(3 * S);
             long from = fleet.now;
-            var box = fleet.machines.stream()
+            var worker = fleet.machines.stream()
                     .max(Comparator.comparing(each -> fleet.sentTo(each, from - S, from))).orElseThrow();
-            trouble.change.accept(box, true);
+            trouble.change.accept(worker, true);
             fleet.advance(3 * S);
-            trouble.change.accept(box, false);
-            fleet.serve(box);
+            trouble.change.accept(worker, false);
+            fleet.serve(worker);
             long until = fleet.now;
             fleet.advance(2 * S);
-            boolean aside = fleet.brain.health().box(box.id).standing() == Standing.TRIAL;
+            boolean ejected = fleet.brain.health().box(worker.id).standing() == Standing.TRIAL;
             fleet.advance(13 * S);
-            var story = trouble + ", seed " + seed + ": " + fleet;
-            int first = fleet.sentTo(box, from, from + 200 * MS);
-            int last = fleet.sentTo(box, from + S, until);
-            assertTrue(first <= trouble.first, first + " jobs at first; " + story);
-            assertTrue(last <= trouble.last, last + " jobs at last; " + story);
-            assertFalse(aside, "still ejected after two seconds; " + story);
-            assertTrue(fleet.servedShare(0) >= 0.999, story);
-            assertTrue(fleet.failed <= trouble.lost, story);
-            assertEquals(0, fleet.ranTwice, story);
+            var description = trouble + ", seed " + seed + ": " + fleet;
+            int first = fleet.sentTo(worker, from, from + 200 * MS);
+            int last = fleet.sentTo(worker, from + S, until);
+            assertTrue(first <= trouble.first, first + " jobs at first; " + description);
+            assertTrue(last <= trouble.last, last + " jobs at last; " + description);
+            assertFalse(ejected, "still ejected after two seconds; " + description);
+            assertTrue(fleet.servedShare(0) >= 0.999, description);
+            assertTrue(fleet.failed <= trouble.lost, description);
+            assertEquals(0, fleet.ranTwice, description);
         }
     }
 
