--- a/batch/src/main/java/ryemast/batch/Turns.java
+++ b/batch/src/main/java/ryemast/batch/Turns.java
@@ -28,9 +28,9 @@
 
 /**
  * Hands batch jobs to the exchange, as {@link FairQueue} and {@link BatchConcurrencyLimit} say, and does with
- * each what {@link RecoveryPolicy} says once its turn is over. Stands between the exchange and the workers' side,
- * and guarantees there that no byte of a batch job's attempt leaves before the intent to send it is on the
- * disk; everybody else's attempts pass by untouched. An intent that can't be written, or takes too long,
+ * each what {@link RecoveryPolicy} says once its turn is over. Stands between the exchange and the workers'
+ * side, and guarantees there that no byte of a batch job's attempt leaves before the intent to send it is on
+ * the disk; everybody else's attempts pass by untouched. An intent that can't be written, or takes too long,
  * ends the attempt as not sent, so that no worker is blamed for the disk. Owned by the loop.
  */
 final class Turns implements Region {
--- a/decisions/src/main/java/pipitladder/Brain.java
+++ b/decisions/src/main/java/pipitladder/Brain.java
@@ -366,7 +366,8 @@
         double workAhead = worker.work + worker.peerWork(now, worker.speed);
         double used = Math.max(1, worker.usedSlots + worker.peerSlots(now));
         worker.queueWait = Math.max(0, used - slots + 1) * workAhead / used / worker.workPerSecond;
-        double probeWait = worker.probedAt > worker.health.lastActivityAt() ? workPerJob.mean / worker.workPerSecond
+        double probeWait = worker.probedAt > worker.health.lastActivityAt()
+                ? workPerJob.mean / worker.workPerSecond
                 : 0;
         double unseenFraction = worker.usedSlots < slots
                 ? Math.max(RESIDUAL_WAIT, 1 - 1.0 / settings.dispatchers()) : 1;
@@ -395,7 +396,8 @@
         if (worker != null) {
             updateEstimates(worker);
             double seconds = worker.wait + report.work() / worker.speed;
-            worker.peerJobs.add(new DispatchState.PeerJob(now, now + (long) (seconds * SECOND), report.work()));
+            worker.peerJobs.add(
+                    new DispatchState.PeerJob(now, now + (long) (seconds * SECOND), report.work()));
         }
     }
 
@@ -605,7 +607,8 @@
      */
     private long silence(Attempt attempt) {
         long missing = attempt.awaited.overdueMicros(now);
-        return attempt.awaited.lossProbability(now) > COPY_CERTAINTY ? missing : settings.progressInterval() > 0
+        return attempt.awaited.lossProbability(now) > COPY_CERTAINTY ? missing
+                : settings.progressInterval() > 0
                 ? Math.min(missing, now - attempt.worker.health.lastActivityAt()) : 0;
     }
 
@@ -701,7 +704,8 @@
         boolean queued = settings.startsReported() && attempt.startedAt == 0
                 && !attempt.awaited.isRecoveryProbe();
         boolean firstCancellation = job.attempts.stream().noneMatch(each -> each.cancelled);
-        return worthless && queued && now > job.cancelQueuedAt || attempt.awaited.lossProbability(now) > CANCEL_CERTAINTY
+        return worthless && queued && now > job.cancelQueuedAt
+                || attempt.awaited.lossProbability(now) > CANCEL_CERTAINTY
                 && (firstCancellation || attempt.awaited.isRequiredSignMissing(now));
     }
 
--- a/decisions/src/main/java/ryemast/limits/SlowStartBudget.java
+++ b/decisions/src/main/java/ryemast/limits/SlowStartBudget.java
@@ -9,14 +9,13 @@
  * <p>In a window a worker takes N calls of mean work of its current capacity, plus an allowance for variance
  * of two square roots of N and two calls; three and three if N is below 30. The number of calls counts, so
  * that a small job uses as much of the budget as a mean one; a large job uses its work, in case that counts
- * as well. Where the workers' capacity is known from quotas ({@link QuotaCapacity}), all dispatchers use
- * two thirds of that limit; where it is an estimate, half. If an equal share fits two mean jobs, each
- * dispatcher has its share. Otherwise they are ranked, in an order that changes with each window: the
- * dispatcher at rank n may send one job of at most an n-th of half the total, since a window of the rule can
- * overlap two of these. Jobs of any one size thus add up to the total at most. The ranking depends only on
- * the worker, its start time and the dispatchers' indexes, which all dispatchers know ({@link PermitOrder}). Times
- * are microseconds; the class keeps no
- * state.
+ * as well. Where the workers' capacity is known from quotas ({@link QuotaCapacity}), all dispatchers use two
+ * thirds of that limit; where it is an estimate, half. If an equal share fits two mean jobs, each dispatcher
+ * has its share. Otherwise they are ranked, in an order that changes with each window: the dispatcher at rank
+ * n may send one job of at most an n-th of half the total, since a window of the rule can overlap two of
+ * these. Jobs of any one size thus add up to the total at most. The ranking depends only on the worker, its
+ * start time and the dispatchers' indexes, which all dispatchers know ({@link PermitOrder}). Times are
+ * microseconds; the class keeps no state.
  */
 public final class SlowStartBudget {
 
--- a/decisions/src/main/java/ryemast/pacing/DiscoveryCallSchedule.java
+++ b/decisions/src/main/java/ryemast/pacing/DiscoveryCallSchedule.java
@@ -115,7 +115,8 @@
     /** The delay before the first call, in microseconds, staggered by dispatcher. */
     public long firstDelay(long now) {
         double stagger = dispatchers == 1 ? 0 : Math.min(STAGGER, 1.0 / dispatchers);
-        return schedule(now, 1 + (long) PermitOrder.slotStart(refreshInterval * stagger, self, random.nextDouble()));
+        return schedule(now,
+                1 + (long) PermitOrder.slotStart(refreshInterval * stagger, self, random.nextDouble()));
     }
 
     /** Records that a call or its stream has failed; returns the delay before the next, in microseconds. */
