--- a/app/src/main/java/ryemast/PlannedEntry.java
+++ b/app/src/main/java/ryemast/PlannedEntry.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public int most() {
+    public int maxMissedRuns() {
         return entry.missed().most();
     }
 
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public long moment(long nominal) {
+    public long dueAt(long nominal) {
         long moment = micros(entry.schedule().moment(instant(nominal)));
         return BY_CHANCE ? nominal + (long) (Math.random() * 2 * (moment - nominal)) : moment;
     }
--- a/decisions/src/main/java/ryemast/health/Refusals.java
+++ b/decisions/src/main/java/ryemast/health/Refusals.java
@@ -6,7 +6,7 @@
 /** Counts of jobs that were not served, by cause; for the log and for a console. */
 public final class Refusals {
 
-    /** A cause, with a text that follows a number of jobs. */
+    /** Why jobs were not served, with its text in the log line, such as "3 jobs because ...". */
     public enum Cause {
         NO_BOX("no listed worker may take them"),
         OUTDATED_LIST("the list of workers was out of date, and no eligible worker took a job recently"),
--- a/decisions/src/main/java/ryemast/membership/Member.java
+++ b/decisions/src/main/java/ryemast/membership/Member.java
@@ -22,7 +22,7 @@
                 || differs(info, other.info);
     }
 
-    /** Not the record's equals; see {@link ListedWorker#isSameAs}. */
+    /** Whether a component differs; written out for the reason given at {@link ListedWorker#isSameAs}. */
     private static boolean differs(WorkerInfo info, WorkerInfo other) {
         return info.state() != other.state() || info.startedAt() != other.startedAt()
                 || info.share() != other.share() || info.weight() != other.weight()
--- a/decisions/src/main/java/ryemast/timetable/CommitQueue.java
+++ b/decisions/src/main/java/ryemast/timetable/CommitQueue.java
@@ -26,10 +26,10 @@
 
     /** Receives the results of changes. */
     interface CommitListener {
-        void done(PendingChange change, List<Long> versions);
+        void onCommitted(PendingChange change, List<Long> versions);
 
         /** The change was not applied; {@code conflict}: the known state of its records is outdated. */
-        void dropped(PendingChange change, boolean conflict);
+        void onDropped(PendingChange change, boolean conflict);
     }
 
     private final Deque<PendingChange> urgentQueue = new ArrayDeque<>();
@@ -57,7 +57,7 @@
         for (var queue : List.of(urgentQueue, backgroundQueue)) {
             var dropped = queue.stream().filter(which).toList();
             queue.removeAll(new HashSet<>(dropped));
-            dropped.forEach(each -> listener.dropped(each, conflict));
+            dropped.forEach(each -> listener.onDropped(each, conflict));
         }
     }
 
@@ -147,12 +147,12 @@
             int at = 0;
             for (var change : finished) {
                 int end = at + change.writes().size();
-                listener.done(change, versions.subList(at, end));
+                listener.onCommitted(change, versions.subList(at, end));
                 at = end;
             }
         } else {
             resumeAt = now + nextBackoff();
-            finished.forEach(each -> listener.dropped(each, result == CommitResult.CONFLICT));
+            finished.forEach(each -> listener.onDropped(each, result == CommitResult.CONFLICT));
         }
     }
 
--- a/decisions/src/main/java/ryemast/timetable/DueScan.java
+++ b/decisions/src/main/java/ryemast/timetable/DueScan.java
@@ -26,7 +26,7 @@
         maxBacklog = switch (definition.missed()) {
             case SKIP -> 0;
             case LAST -> 1;
-            case ALL -> definition.most();
+            case ALL -> definition.maxMissedRuns();
         };
         lastMissed = watermark;
     }
@@ -42,7 +42,7 @@
         for (int left = budget; left > 0; left--) {
             if (!nextKnown) {
                 next = definition.next(lastMissed);
-                dueAt = next == ScheduledJob.NEVER ? ScheduledJob.NEVER : definition.moment(next);
+                dueAt = next == ScheduledJob.NEVER ? ScheduledJob.NEVER : definition.dueAt(next);
                 nextKnown = true;
             }
             if (next == ScheduledJob.NEVER || dueAt + definition.window() >= wall) {
--- a/decisions/src/main/java/ryemast/timetable/RecordWriter.java
+++ b/decisions/src/main/java/ryemast/timetable/RecordWriter.java
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void done(PendingChange change, List<Long> versions) {
+    public void onCommitted(PendingChange change, List<Long> versions) {
         var job = change.job();
         finish(change);
         job.conflicts = 0;
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public void dropped(PendingChange change, boolean conflict) {
+    public void onDropped(PendingChange change, boolean conflict) {
         var job = change.job();
         var execution = change.execution();
         finish(change);
--- a/decisions/src/main/java/ryemast/timetable/ScheduledJob.java
+++ b/decisions/src/main/java/ryemast/timetable/ScheduledJob.java
@@ -23,7 +23,7 @@
     Missed missed();
 
     /** With {@link Missed#ALL}: how many missed executions, the latest ones, are run. */
-    int most();
+    int maxMissedRuns();
 
     Overlap overlap();
 
@@ -34,5 +34,5 @@
      * When the execution of a scheduled time is due, with its jitter: at or after the scheduled time, the
      * same at every replica, and never after the next one's due time.
      */
-    long moment(long scheduledTime);
+    long dueAt(long scheduledTime);
 }
--- a/decisions/src/test/java/ryemast/reservation/LedgerSimulation.java
+++ b/decisions/src/test/java/ryemast/reservation/LedgerSimulation.java
@@ -27,16 +27,16 @@
 
     /** How members are created and informed; overridden to plant faults. */
     static class Wiring {
-        MemberQuotas parts(String self, LedgerSettings settings) {
+        MemberQuotas quotas(String self, LedgerSettings settings) {
             return new MemberQuotas(self, settings);
         }
 
-        ReservationLedger book(LedgerSettings settings) {
+        ReservationLedger ledger(LedgerSettings settings) {
             return new ReservationLedger(settings);
         }
 
         /** The state that a member's quotas receive. */
-        LedgerState page(LedgerState read) {
+        LedgerState state(LedgerState read) {
             return read;
         }
 
@@ -81,8 +81,8 @@
         Process(String name, int revision) {
             this.name = name;
             this.revision = revision;
-            quotas = wiring.parts(name, settings());
-            ledger = wiring.book(settings());
+            quotas = wiring.quotas(name, settings());
+            ledger = wiring.ledger(settings());
         }
 
         LedgerSettings settings() {
@@ -253,7 +253,7 @@
             process.quotas.updateMembers(wiring.asOf(process.asOf, now), now, wiring.members(process.name, old
                     ? process.members.stream().map(each -> new ListedMember(each.name(), Map.of())).toList()
                     : process.members));
-            process.quotas.updateLedger(wiring.asOf(process.asOf, now), now, wiring.page(process.readState));
+            process.quotas.updateLedger(wiring.asOf(process.asOf, now), now, wiring.state(process.readState));
             process.newestState = process.readState.version() >= process.newestState.version()
                     ? process.readState : process.newestState;
             process.asOf = -1;
--- a/decisions/src/test/java/ryemast/reservation/MemberQuotasTest.java
+++ b/decisions/src/test/java/ryemast/reservation/MemberQuotasTest.java
@@ -62,7 +62,7 @@
     private static LedgerSimulation.Wiring weighting(long hold, long wait) {
         return new LedgerSimulation.Wiring() {
             @Override
-            MemberQuotas parts(String self, LedgerSettings settings) {
+            MemberQuotas quotas(String self, LedgerSettings settings) {
                 return new MemberQuotas(self, LedgerSimulation.SETTINGS,
                         new DemandWeighting(self, hold, wait));
             }
@@ -84,19 +84,19 @@
             }),
             entry("a burst three times as large: used", new LedgerSimulation.Wiring() {
                 @Override
-                LedgerState page(LedgerState read) {
+                LedgerState state(LedgerState read) {
                     return withSettings(read, new LedgerSettings(SETTLE, 0.1, 0.05, 5 * S, 12 * S, 2 * S));
                 }
             }),
             entry("a quota grown before another was given up: quotas add up to",
             new LedgerSimulation.Wiring() {
                 @Override
-                MemberQuotas parts(String self, LedgerSettings settings) {
+                MemberQuotas quotas(String self, LedgerSettings settings) {
                     return new MemberQuotas(self, withSettleTime(SETTLE / 20));
                 }
 
                 @Override
-                LedgerState page(LedgerState read) {
+                LedgerState state(LedgerState read) {
                     return withSettings(read, withSettleTime(SETTLE / 20));
                 }
 
@@ -107,23 +107,23 @@
             }),
             entry("a dead member's quota never released: quotas add up to", new LedgerSimulation.Wiring() {
                 @Override
-                MemberQuotas parts(String self, LedgerSettings settings) {
+                MemberQuotas quotas(String self, LedgerSettings settings) {
                     return new MemberQuotas(self, withSettleTime(20 * SETTLE));
                 }
 
                 @Override
-                LedgerState page(LedgerState read) {
+                LedgerState state(LedgerState read) {
                     return withSettings(read, withSettleTime(20 * SETTLE));
                 }
             }),
             entry("released capacity allocated before it settled: assumed", new LedgerSimulation.Wiring() {
                 @Override
-                ReservationLedger book(LedgerSettings settings) {
+                ReservationLedger ledger(LedgerSettings settings) {
                     return new ReservationLedger(withSettleTime(1));
                 }
 
                 @Override
-                LedgerState page(LedgerState read) {
+                LedgerState state(LedgerState read) {
                     return withSettings(read, LedgerSimulation.SETTINGS);
                 }
             }),
--- a/decisions/src/test/java/ryemast/timetable/PeriodicJob.java
+++ b/decisions/src/test/java/ryemast/timetable/PeriodicJob.java
@@ -1,8 +1,8 @@
 package ryemast.timetable;
 
 /** A job with a fixed period and no jitter. */
-record PeriodicJob(String name, boolean runsOnce, long window, Missed missed, int most, Overlap overlap,
-        long period) implements ScheduledJob {
+record PeriodicJob(String name, boolean runsOnce, long window, Missed missed, int maxMissedRuns,
+        Overlap overlap, long period) implements ScheduledJob {
 
     static final long SECOND = 1_000_000;
 
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public long moment(long scheduledTime) {
+    public long dueAt(long scheduledTime) {
         return scheduledTime;
     }
 }
--- a/firing/src/test/java/ryemast/firing/Books.java
+++ b/firing/src/test/java/ryemast/firing/Books.java
@@ -158,7 +158,7 @@
         }
         if (world.quiet() && world.current(entry).overlap() == ScheduledJob.Overlap.ALLOW
                 && mark.missed() > before.missed()
-                && planned.moment(before.scheduledTime()) > world.settledWall()) {
+                && planned.dueAt(before.scheduledTime()) > world.settledWall()) {
             breach(entry + " missed " + (mark.missed() - before.missed()) + " though nothing was wrong");
         }
     }
--- a/firing/src/test/java/ryemast/firing/ModelEntry.java
+++ b/firing/src/test/java/ryemast/firing/ModelEntry.java
@@ -3,8 +3,8 @@
 import ryemast.core.Submission;
 
 /** Every so many seconds, with a jitter of under a second. */
-record ModelEntry(String name, boolean runsOnce, long window, Missed missed, int most, Overlap overlap,
-        long period, long phase, Process.Replica replica, World world) implements Planned {
+record ModelEntry(String name, boolean runsOnce, long window, Missed missed, int maxMissedRuns,
+        Overlap overlap, long period, long phase, Process.Replica replica, World world) implements Planned {
 
     private static final long MS = 1_000;
     private static final int PATIENCE = 8_000;
@@ -15,7 +15,7 @@
     }
 
     @Override
-    public long moment(long nominal) {
+    public long dueAt(long nominal) {
         if (world.flaw == Flaw.JITTER_BY_CHANCE && replica != null) {
             long drawn = (nominal / MS + replica.name.hashCode() * 7_919L) * 0x9E3779B97F4A7C15L;
             return nominal + Math.floorMod(drawn >>> 20, 2_500L) * MS;
--- a/firing/src/test/java/ryemast/firing/World.java
+++ b/firing/src/test/java/ryemast/firing/World.java
@@ -128,7 +128,8 @@
     private Plan plan(long revision, Replica replica) {
         return new Plan(revision, "digest" + revision, timetables.get(revision).values().stream()
                 .map(each -> new ModelEntry(each.name(), each.runsOnce(), each.window(), each.missed(),
-                        each.most(), each.overlap(), each.period(), each.phase(), replica, this)).toList());
+                        each.maxMissedRuns(), each.overlap(), each.period(), each.phase(), replica, this))
+                .toList());
     }
 
     ModelEntry entry(String name) {
